--- a/calicomast/net/__main__.py
+++ b/calicomast/net/__main__.py
@@ -6,7 +6,7 @@
 import sys
 
 
-class Hangups:
+class SighupCounter:
     """Counts SIGHUP from the first moment, when nothing can be made of it yet: its default is to end us."""
 
     def __init__(self) -> None:
@@ -18,7 +18,7 @@
 
 
 if __name__ == "__main__":
-    hangups = Hangups()
+    hangups = SighupCounter()
     from calicomast.net.program import main  # takes most of a start: not before signals are seen
 
     sys.exit(main(hangups))
--- a/calicomast/net/clients.py
+++ b/calicomast/net/clients.py
@@ -131,7 +131,7 @@
         pending, self.pending = self.pending, deque()
         for slot in pending:
             if slot.answer is None:
-                self.server.handler.gone(slot)
+                self.server.handler.handle_client_gone(slot)
 
     def look(self) -> None:
         """Sees a client leave whose connection is not read: its end stands behind bytes that nobody takes."""
@@ -161,7 +161,7 @@
                 self.pending.append(slot)
                 self.server.idle.pop(self, None)
                 begins = True
-                self.server.handler.command(slot, command)
+                self.server.handler.handle_command(slot, command)
         except FramingError:
             spoilt = True
         self.dispatching = False
@@ -187,7 +187,7 @@
         for slot in list(self.pending):
             if slot.answer is None:
                 slot.answer = FAILED
-                self.server.handler.gone(slot)
+                self.server.handler.handle_client_gone(slot)
         slot = Slot(self)
         self.pending.append(slot)
         slot.reply(answer)
@@ -303,8 +303,8 @@
 
 
 class ClientServer:
-    """`handler` has command(slot, command) and gone(slot). At most `most` connections; at most `most_partial`
-    bytes of half commands on all of them."""
+    """`handler` has handle_command(slot, command) and handle_client_gone(slot). At most `most` connections;
+    at most `most_partial` bytes of half commands on all of them."""
 
     def __init__(self, handler: Any, most: int, most_partial: int, events: EventLog) -> None:
         self.handler, self.most, self.most_partial, self.partial = handler, most, most_partial, 0
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -33,19 +33,22 @@
     may_take_request,
 )
 
-WAY_BACK = 0.03  # s before the client gives up by which the module is to be done
-STILL = 0.55  # s after it for which an answer is still worth nothing but is one; later the request is lost
-GUARD = 0.01  # s before that by which a request without an answer is failed, whatever the module does
-OWN_MEMORY = 40 * 1024 * 1024  # bytes that the program takes itself, with some to spare
+RESPONSE_MARGIN = 0.03  # s before the client gives up by which the module is to be done
+# s after it for which an answer is still worth nothing but is one; later the request is lost
+LATE_ANSWER_GRACE = 0.55
+# s before that by which a request without an answer is failed, whatever the module does
+DEADLINE_GUARD_MARGIN = 0.01
+BASE_MEMORY_BYTES = 40 * 1024 * 1024  # bytes that the program takes itself, with some to spare
 LEAST_HELD = 4 * 1024 * 1024  # bytes of bodies, and as many of half commands, that there is always room for
-LEAST_LIST = 1024 * 1024  # bytes of a list of servers that there is always room for
+MIN_SERVER_LIST_BYTES = 1024 * 1024  # bytes of a list of servers that there is always room for
 LIST_PART = 4  # part of the memory beyond the program's own that the text of a list may have
 LONG_LIST = 1000  # servers
 SPARE_SOCKETS = 64  # descriptors that are neither clients' nor hosts' connections
 LINGER = 0.5  # s after SIGTERM in which connections still come
 KILL_MOST, KILL_MORE = 3.0, 0.7  # s to SIGKILL: the longest deadline, so long at most, and as much more
 KILL_MARGIN = 0.3  # s before SIGKILL by which everything is answered
-LAST_WORDS, STEP = 0.1, 0.01  # s for the last answers to be written; between looks whether all is done
+# s for the last answers to be written; between looks whether all is done
+FINAL_FLUSH_TIMEOUT, STEP = 0.1, 0.01
 
 BUSY = b"-BUSY\r\n"
 PONG = b"+PONG\r\n"
@@ -53,37 +56,41 @@
 log = logging.getLogger(__name__)
 
 
-def list_bound(memory: int) -> int:
+def max_server_list_bytes(memory: int) -> int:
     """Bytes that a list of servers may have where so many bytes of memory may be taken: what is held of an
     entry takes about three times its text."""
-    return max(LEAST_LIST, (memory - OWN_MEMORY) // LIST_PART)
+    return max(MIN_SERVER_LIST_BYTES, (memory - BASE_MEMORY_BYTES) // LIST_PART)
 
 
-class GatewayNode:
+class GatewayService:
     def __init__(self, config: Config) -> None:
         self.config, self.settings, self.clock = config, config.settings, Clock()
         self.loop = asyncio.get_running_loop()
-        self.module = Gateway(config.settings, config.seed, self.clock())
-        self.works: dict[str, Work] = {}
-        self.held = 0  # bytes of bodies in work
+        self.policy = Gateway(config.settings, config.seed, self.clock())
+        self.active_requests: dict[str, Work] = {}
+        self.held_body_bytes = 0  # bytes of bodies in work
         self.events: deque[api.Event] = deque()
         self.feeding = self.ready = False
         self.state = ProcessState.SERVING
-        self.log = EventLog()
+        self.event_log = EventLog()
         longest = self.longest = max(cls.deadline for cls in self.settings.classes.values())
-        self.finish_time = min(longest, KILL_MOST) + KILL_MORE - min(KILL_MARGIN, longest / 2)
+        self.shutdown_timeout = min(longest, KILL_MOST) + KILL_MORE - min(KILL_MARGIN, longest / 2)
         room = max(config.sockets - SPARE_SOCKETS, config.sockets // 2)
         # Bodies in work and half commands are bounded: past the limit of memory the program is killed.
-        self.most_held = max(LEAST_HELD, (config.memory - OWN_MEMORY) // 4)
-        self.clients = ClientServer(self, room // 2, self.most_held, self.log)
-        self.servers = ServerTable(self.feed, lambda server: self.hosts.stop(server), self.clock.started)
-        self.hosts = Hosts(config.connect_timeout, config.idle_close, room // 2, self.servers.address)
+        self.most_held = max(LEAST_HELD, (config.memory - BASE_MEMORY_BYTES) // 4)
+        self.clients = ClientServer(self, room // 2, self.most_held, self.event_log)
+        self.server_table = ServerTable(
+            self.feed, lambda server: self.server_connections.stop(server), self.clock.started
+        )
+        self.server_connections = Hosts(
+            config.connect_timeout, config.idle_close, room // 2, self.server_table.address
+        )
         self.control = AttemptControl(
-            config.settings, self.clock, self.servers.listed, self.admits_late, self.log
+            config.settings, self.clock, self.server_table.listed, self.admits_late, self.event_log
         )
         self.counter = Counter(config.counter, self.settings.counter_timeout) if config.counter else None
-        self.most_list = list_bound(config.memory)
-        self.sources = 0  # discoveries that were named one after another
+        self.max_server_list_bytes = max_server_list_bytes(config.memory)
+        self.discovery_generation = 0  # discoveries that were named one after another
         self.discovery = self.new_discovery(config, config.known.version, held=bool(config.known.entries))
         self.endings: set[asyncio.Task[None]] = set()  # what a new configuration replaced, until it has ended
         self.actions = {
@@ -94,7 +101,7 @@
             api.Count: self.count,
             api.SetTimer: self.set_timer,
             api.Probe: self.probe,
-            api.Close: lambda a: self.hosts.close_idle(a.host),
+            api.Close: lambda a: self.server_connections.close_idle(a.host),
             api.Fetch: lambda a: self.discovery.fetch(),
             api.Watch: lambda a: self.discovery.watch(a.on),
             api.Log: lambda a: log.info("module: %s", a.text),
@@ -102,9 +109,9 @@
 
     async def start(self) -> None:
         """All but the listener: before the first client comes the module knows its hosts."""
-        for _ in self.take_list(self.config.known):
+        for _ in self.apply_server_list(self.config.known):
             pass
-        self.hosts.start_checks()
+        self.server_connections.start_checks()
         if self.counter:
             self.counter.start()
         if self.settings.discovery == "push":
@@ -117,7 +124,7 @@
     def reload(self, config: Config) -> None:
         """Goes over to the addresses of a new configuration. The rest of it holds from the next start on."""
         if self.stopping:
-            self.log.tell(Kind.CONFIGURATION, Verdict.SHUTTING_DOWN.value)
+            self.event_log.tell(Kind.CONFIGURATION, Verdict.SHUTTING_DOWN.value)
             return
         old, self.config = self.config, config
         if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
@@ -134,17 +141,17 @@
         log.info("new configuration: discovery %s:%d", *config.discovery)
 
     def new_discovery(self, config: Config, version: int, held: bool) -> Discovery:
-        self.sources += 1
-        source = self.sources
+        self.discovery_generation += 1
+        source = self.discovery_generation
         return Discovery(
             config.discovery,
             version,
-            lambda listing: self.take_list(listing, source),
+            lambda listing: self.apply_server_list(listing, source),
             self.list_failed,
             held=held,
             grace=self.settings.rules.drain_grace,
-            most=self.most_list,
-            entries=self.servers.entries,
+            most=self.max_server_list_bytes,
+            entries=self.server_table.entries,
         )
 
     @property
@@ -177,11 +184,11 @@
 
     def handle(self, event: api.Event) -> None:
         try:
-            actions = self.module.handle(self.clock(), event)
+            actions = self.policy.handle(self.clock(), event)
         except Exception:  # one request must not take the others along
             log.exception("the module failed on %s", type(event).__name__)
-            if isinstance(event, api.Request | api.Outcome) and event.id in self.works:
-                self.abandon(self.works[event.id], "module failed")
+            if isinstance(event, api.Request | api.Outcome) and event.id in self.active_requests:
+                self.abort_request(self.active_requests[event.id], "module failed")
             return
         for action in actions:
             try:
@@ -189,33 +196,33 @@
             except Exception:  # nor one action the rest; the guard answers what it was for
                 log.exception("%r could not be carried out", action)
 
-    def abandon(self, work: Work, reason: str) -> None:
+    def abort_request(self, work: Work, reason: str) -> None:
         """Fails a request by itself and lets the module forget it."""
         if not work.over:
             self.tell_end(Kind.REQUEST_FAILED, reason, work)
-        self.finish(work, FAILED)
+        self.finish_request(work, FAILED)
         for attempt in list(work.live.values()):
-            self.hosts.give_up(attempt, "cancelled")
+            self.server_connections.give_up(attempt, "cancelled")
         self.feed(api.Gone(work.id))
 
-    def take_list(self, listing: Listing, source: int = 0) -> Iterator[None]:
+    def apply_server_list(self, listing: Listing, source: int = 0) -> Iterator[None]:
         """Takes a list of servers over in slices; raises ValueError if it may not be put in force. `source`:
         the number of the discovery that told it; 0 for the configuration."""
-        self.check_list(listing, source)
+        self.check_server_list(listing, source)
         long = len(listing.entries) > LONG_LIST
-        for _ in self.servers.take(listing):
+        for _ in self.server_table.take(listing):
             yield
-            self.check_list(listing, source)  # the configuration may have named another meanwhile
-        self.ready = self.ready or self.servers.any_to_send_to()
+            self.check_server_list(listing, source)  # the configuration may have named another meanwhile
+        self.ready = self.ready or self.server_table.any_to_send_to()
         if long:
             gc.freeze()  # most of it stays for good: no collection need look at it again
 
-    def check_list(self, listing: Listing, source: int) -> None:
+    def check_server_list(self, listing: Listing, source: int) -> None:
         """Raises ValueError if a list may not be put in force, or not be gone on with."""
         try:
-            self.servers.check(listing, source_current=source in (0, self.sources))
+            self.server_table.check(listing, source_current=source in (0, self.discovery_generation))
         except ValueError as err:
-            self.log.tell(Kind.LIST_NOT_APPLIED, str(err), version=listing.version)
+            self.event_log.tell(Kind.LIST_NOT_APPLIED, str(err), version=listing.version)
             raise
 
     def list_failed(self) -> None:
@@ -224,58 +231,63 @@
 
     # Clients
 
-    def command(self, slot: Slot, command: object) -> None:
+    def handle_command(self, slot: Slot, command: object) -> None:
         if command == [b"PING"] or command == [b"ping"]:
             slot.reply(PONG if self.ready and not self.stopping else b"-ERR not ready\r\n")
             return
         try:
-            self.take(slot, command)
+            self.accept_request(slot, command)
         except BadRequest as err:
-            self.log.note(Kind.REQUEST_NOT_TAKEN, str(err))
+            self.event_log.note(Kind.REQUEST_NOT_TAKEN, str(err))
             slot.reply(b"-ERR %s\r\n" % str(err).encode())
         except Exception:
             log.exception("a command could not be taken")
             if slot.answer is None:
                 slot.reply(FAILED)
 
-    def take(self, slot: Slot, told: object) -> None:
+    def accept_request(self, slot: Slot, told: object) -> None:
         """Takes a request on, or refuses it at once; raises BadRequest."""
         command = check_form(told)
-        request = read_request(command, self.settings, WAY_BACK + slot.client.waited())
-        if request.id in self.works:
+        request = read_request(command, self.settings, RESPONSE_MARGIN + slot.client.waited())
+        if request.id in self.active_requests:
             raise BadRequest("this id is in work")
         verdict = may_take_request(
             ending=self.refusing,
-            in_work=len(self.works),
+            in_work=len(self.active_requests),
             most_in_work=self.config.max_open,
-            held=self.held,
+            held=self.held_body_bytes,
             most_held=self.most_held,
         )
         if verdict is not Verdict.ALLOWED:
-            self.log.note(Kind.REQUEST_REFUSED, verdict.value)
+            self.event_log.note(Kind.REQUEST_REFUSED, verdict.value)
             slot.reply(BUSY)
             return
         now = time.monotonic()
         work = Work(request.id, slot, command, now + request.left)
-        slot.token, slot.due = work, now + min(request.left + WAY_BACK, self.longest) + STILL
-        self.works[request.id] = work
-        self.held += len(command[-1])
-        work.guard = self.loop.call_later(max(0.0, request.left + WAY_BACK - GUARD), self.overdue, work)
+        slot.token, slot.due = (
+            work,
+            now + min(request.left + RESPONSE_MARGIN, self.longest) + LATE_ANSWER_GRACE,
+        )
+        self.active_requests[request.id] = work
+        self.held_body_bytes += len(command[-1])
+        work.guard = self.loop.call_later(
+            max(0.0, request.left + RESPONSE_MARGIN - DEADLINE_GUARD_MARGIN), self.fail_overdue, work
+        )
         self.feed(request)
 
-    def gone(self, slot: Slot) -> None:
+    def handle_client_gone(self, slot: Slot) -> None:
         """The client went away: nothing more is sent for its request."""
         work = slot.token
         if work is not None and not work.over:
-            self.finish(work, b"")
+            self.finish_request(work, b"")
             self.feed(api.Gone(work.id))
 
-    def overdue(self, work: Work) -> None:
+    def fail_overdue(self, work: Work) -> None:
         """Guards the client's deadline against a module that says nothing."""
         if not work.over:
-            self.abandon(work, "no decision before its deadline")
+            self.abort_request(work, "no decision before its deadline")
 
-    def finish(self, work: Work, answer: bytes) -> None:
+    def finish_request(self, work: Work, answer: bytes) -> None:
         """The one place where a request gets its final answer."""
         if work.over:
             return
@@ -286,58 +298,58 @@
             work.slot.reply(answer)
         for attempt in list(work.live.values()):
             if not attempt.written:  # after the final answer nothing more is sent
-                self.hosts.give_up(attempt, "cancelled")
+                self.server_connections.give_up(attempt, "cancelled")
         self.forget(work)
 
     def forget(self, work: Work) -> None:
-        if work.over and not work.live and self.works.pop(work.id, None):
+        if work.over and not work.live and self.active_requests.pop(work.id, None):
             work.become(RequestState.FORGOTTEN)
-            self.held -= len(work.command[-1])
+            self.held_body_bytes -= len(work.command[-1])
 
     def tell_end(self, kind: Kind, reason: str, work: Work) -> None:
         """Notes why a request is given up."""
         client = work.slot.client
         ids = {"id": work.id, "connection": client.number, "state": client.state.value}
-        self.log.tell(kind, reason, **ids, attempts=work.begun)
+        self.event_log.tell(kind, reason, **ids, attempts=work.begun)
 
     # Actions
 
     def refuse(self, action: api.Refuse) -> None:
-        if action.id in self.works:
-            self.tell_end(Kind.REQUEST_REFUSED, action.reason, self.works[action.id])
+        if action.id in self.active_requests:
+            self.tell_end(Kind.REQUEST_REFUSED, action.reason, self.active_requests[action.id])
             wait = math.ceil(action.retry_after * 1000)
-            self.finish(self.works[action.id], b"-BUSY %d\r\n" % wait if wait > 0 else BUSY)
+            self.finish_request(self.active_requests[action.id], b"-BUSY %d\r\n" % wait if wait > 0 else BUSY)
 
     def fail(self, action: api.Fail) -> None:
-        if action.id in self.works:
-            self.tell_end(Kind.REQUEST_FAILED, action.reason, self.works[action.id])
-            self.finish(self.works[action.id], FAILED)
+        if action.id in self.active_requests:
+            self.tell_end(Kind.REQUEST_FAILED, action.reason, self.active_requests[action.id])
+            self.finish_request(self.active_requests[action.id], FAILED)
 
     def send(self, action: api.Send) -> None:
-        work = self.works.get(action.id)
+        work = self.active_requests.get(action.id)
         if work is None or work.over:
             return
         number = work.sends
         work.sends += 1
-        attempt = Attempt(action.host, self.begin, self.attempt_done, (work, number))
+        attempt = Attempt(action.host, self.prepare_payload, self.attempt_done, (work, number))
         attempt.repeat_until, attempt.cold = action.repeat_until, action.cold
         verdict = self.control.judge(attempt, late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
-                self.finish(work, b"")
+                self.finish_request(work, b"")
             self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
             return
         work.live[number] = attempt
         attempt.judged = True  # for as long as this step lasts
         left = work.deadline - time.monotonic()
-        self.hosts.send(attempt, min(left, action.timeout) if action.timeout > 0 else left)
+        self.server_connections.send(attempt, min(left, action.timeout) if action.timeout > 0 else left)
         attempt.judged = False
 
     def admits_late(self, now: float, id: str, number: int, server: str) -> bool:
         """Asks the module about an attempt at a cold server whose connection came up late."""
-        return self.module.admits_late(now, id, number, server)
+        return self.policy.admits_late(now, id, number, server)
 
-    def begin(self, attempt: Attempt) -> bytes | None:
+    def prepare_payload(self, attempt: Attempt) -> bytes | None:
         """What goes to the server, worked out as its connection is there to be written to; None if it may not
         be sent any more."""
         work, _ = attempt.tag
@@ -345,7 +357,7 @@
             verdict = self.control.judge(attempt, late=True)
             if verdict is not Verdict.ALLOWED:
                 if verdict is Verdict.CLIENT_GONE:
-                    self.gone(work.slot)
+                    self.handle_client_gone(work.slot)
                 return None
         return self.control.write(attempt)
 
@@ -355,11 +367,11 @@
         del work.live[number]
         if result != "ok":
             ids = {"id": work.id, "attempt": number, "server": attempt.host, "state": work.state.value}
-            self.log.tell(Kind.ATTEMPT_ENDED, result, **ids)
+            self.event_log.tell(Kind.ATTEMPT_ENDED, result, **ids)
         if over and (result == "connect_failed" or result in api.NEVER_BEGAN):
             result = "moot"  # called off before it was sent, which says nothing of the host
         elif result == "ok" and not over:
-            self.finish(work, bulk(attempt.value))
+            self.finish_request(work, bulk(attempt.value))
         self.forget(work)
         self.feed(
             api.Outcome(
@@ -375,12 +387,12 @@
         )
 
     def cancel(self, action: api.Cancel) -> None:
-        work = self.works.get(action.id)
+        work = self.active_requests.get(action.id)
         if work is not None and action.attempt in work.live:
-            self.hosts.give_up(work.live[action.attempt], "cancelled")
+            self.server_connections.give_up(work.live[action.attempt], "cancelled")
 
     def probe(self, action: api.Probe) -> None:
-        self.hosts.probe(action.host, self.probed)
+        self.server_connections.probe(action.host, self.probed)
 
     def probed(self, attempt: Attempt) -> None:
         self.feed(api.Probed(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
@@ -417,14 +429,14 @@
         await self.clients.no_more()
         self.become(ProcessState.FINISHING)
         self.clients.finish()
-        await self.idle(began + self.finish_time)
+        await self.idle(began + self.shutdown_timeout)
         self.become(ProcessState.REFUSING)
-        for work in list(self.works.values()):
-            self.abandon(work, Verdict.SHUTTING_DOWN.value)
-        await self.idle(time.monotonic() + LAST_WORDS)
+        for work in list(self.active_requests.values()):
+            self.abort_request(work, Verdict.SHUTTING_DOWN.value)
+        await self.idle(time.monotonic() + FINAL_FLUSH_TIMEOUT)
         self.become(ProcessState.ENDED)
         self.clients.close()
-        self.hosts.close()
+        self.server_connections.close()
         if self.counter:
             self.counter.close()
         await asyncio.gather(self.discovery.close(), *self.endings)
@@ -432,9 +444,9 @@
 
     def print_counts(self) -> None:
         """Logs what ended and why since the start, and the violations."""
-        log.info("counts %s", self.log.summary())
+        log.info("counts %s", self.event_log.summary())
 
     async def idle(self, until: float) -> None:
         """Waits for nothing to be in work, and all answers to be written and their connections closed."""
-        while (self.works or self.clients.clients) and time.monotonic() < until:
+        while (self.active_requests or self.clients.clients) and time.monotonic() < until:
             await asyncio.sleep(STEP)
--- a/calicomast/net/program.py
+++ b/calicomast/net/program.py
@@ -15,10 +15,10 @@
 import uvloop
 
 from calicomast.net.config import Config, ConfigError, config_steps, read_config
-from calicomast.net.gateway import GatewayNode
+from calicomast.net.gateway import GatewayService
 from calicomast.net.own_trouble import is_own_trouble
 
-STEPS_AT_ONCE = 4  # of reading the configuration again
+STEPS_PER_TURN = 4  # of reading the configuration again
 MOST_LINES = 5  # of the log in a second
 IN_USE = 5.0  # s for which an address that is still in use is tried again
 HINDERED = 20.0  # s for which a start is, where the system is short of descriptors or memory
@@ -26,7 +26,7 @@
 RELOAD_PAUSES = (0.1, 0.2, 0.4, 0.8)  # s between tries of a configuration that cannot be read
 
 
-class Seldom(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """A few lines a second: CPU is rationed, and trouble that repeats must not take it for logging."""
 
     def __init__(self) -> None:
@@ -43,22 +43,22 @@
         return self.left >= 0
 
 
-class Hangups(Protocol):
+class SighupCounter(Protocol):
     seen: int  # how often SIGHUP came since the process began
 
 
-async def serve(config: Config, hangups: Hangups, known: int) -> None:
+async def serve(config: Config, hangups: SighupCounter, known: int) -> None:
     told = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, told.set)
-    node = GatewayNode(config)
+    node = GatewayService(config)
     reloader = Reloader(node)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     loop.add_signal_handler(signal.SIGUSR1, node.print_counts)
     if hangups.seen > known:  # since the configuration was read
         reloader.reload()
-    port = await start(node, told)
+    port = await start_service(node, told)
     if port is None:
         return
     gc.freeze()  # what the start made stays for good: no collection need look at it again
@@ -67,7 +67,7 @@
     await node.stop()
 
 
-async def start(node: GatewayNode, told: asyncio.Event) -> int | None:
+async def start_service(node: GatewayService, told: asyncio.Event) -> int | None:
     """Starts it, at its address as soon as that is free: what had it before may be just ending. None where it
     was told to end before."""
     await node.start()
@@ -85,7 +85,7 @@
     return None
 
 
-def read_at_start(hangups: Hangups) -> Config:
+def read_at_start(hangups: SighupCounter) -> Config:
     """The configuration; raises ConfigError where it cannot be used, or not be read for too long."""
     until = time.monotonic() + HINDERED
     while True:
@@ -101,7 +101,7 @@
     """Reads the configuration again on SIGHUP. A long file is read between other work; while that goes on,
     another SIGHUP begins it anew. One that cannot be used leaves the old configuration in force."""
 
-    def __init__(self, node: GatewayNode) -> None:
+    def __init__(self, node: GatewayService) -> None:
         self.node = node
         self.steps: Generator[None, None, Config] | None = None
         self.again: asyncio.TimerHandle | None = None
@@ -125,7 +125,7 @@
         if steps is not self.steps:
             return
         try:
-            for _ in range(STEPS_AT_ONCE):
+            for _ in range(STEPS_PER_TURN):
                 next(steps)
         except StopIteration as end:
             self.steps = None
@@ -133,11 +133,11 @@
         except ConfigError as err:
             self.steps = None
             logging.getLogger(__name__).error("the old configuration stays: %s", err)
-            self.try_again()
+            self.schedule_retry()
         else:
             asyncio.get_running_loop().call_soon(self.proceed, steps)
 
-    def try_again(self) -> None:
+    def schedule_retry(self) -> None:
         """The file may be just being written, or the system out of descriptors: nobody sends SIGHUP again."""
         if self.tries < len(RELOAD_PAUSES):
             pause = RELOAD_PAUSES[self.tries]
@@ -145,9 +145,9 @@
             self.again = asyncio.get_running_loop().call_later(pause, self.begin)
 
 
-def main(hangups: Hangups) -> int:
+def main(hangups: SighupCounter) -> int:
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
-    logging.getLogger().handlers[0].addFilter(Seldom())
+    logging.getLogger().handlers[0].addFilter(RateLimitFilter())
     try:
         known = hangups.seen
         uvloop.run(serve(read_at_start(hangups), hangups, known))
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -14,7 +14,7 @@
 
 from calicomast import admission, quota, servers
 from calicomast.net import clients, discovery, gateway, hosts, invariants, program, requests, server_table
-from calicomast.net.__main__ import Hangups
+from calicomast.net.__main__ import SighupCounter
 
 LATE = 0.4  # seconds by which an attempt is held back where its client may have left
 PAST_WINDOW = 2.3  # seconds after which a keyed request is sent again
@@ -30,26 +30,26 @@
     asyncio.get_running_loop().call_later(seconds, what, *told)
 
 
-def after_start(what: Callable[[gateway.GatewayNode], None]) -> None:
+def after_start(what: Callable[[gateway.GatewayService], None]) -> None:
     """Does something once a gateway starts."""
-    start = gateway.GatewayNode.start
+    start = gateway.GatewayService.start
 
-    async def started(node: gateway.GatewayNode) -> None:
+    async def started(node: gateway.GatewayService) -> None:
         await start(node)
         what(node)
 
-    gateway.GatewayNode.start = started  # type: ignore[method-assign]
+    gateway.GatewayService.start = started  # type: ignore[method-assign]
 
 
 def one_answer() -> None:
     """Some requests get no answer."""
-    finish, count = gateway.GatewayNode.finish, [0]
+    finish, count = gateway.GatewayService.finish_request, [0]
 
-    def silent(node: gateway.GatewayNode, work: requests.Work, answer: bytes) -> None:
+    def silent(node: gateway.GatewayService, work: requests.Work, answer: bytes) -> None:
         count[0] += 1
         finish(node, work, b"" if count[0] % EVERY == 0 else answer)
 
-    gateway.GatewayNode.finish = silent  # type: ignore[method-assign]
+    gateway.GatewayService.finish_request = silent  # type: ignore[method-assign]
 
 
 def right_answer() -> None:
@@ -74,17 +74,17 @@
 
 def send_again(seconds: float) -> None:
     """What was served goes to its server once more after so many seconds."""
-    done = gateway.GatewayNode.attempt_done
+    done = gateway.GatewayService.attempt_done
 
-    def again(node: gateway.GatewayNode, attempt: hosts.Attempt) -> None:
+    def again(node: gateway.GatewayService, attempt: hosts.Attempt) -> None:
         work, _ = attempt.tag
         done(node, attempt)
         if attempt.result == "ok":
             payload = work.payload(1.0)
             second = hosts.Attempt(attempt.host, lambda _: payload, lambda _: None, hosts.PROBE)
-            later(seconds, node.hosts.send, second, 1.0)
+            later(seconds, node.server_connections.send, second, 1.0)
 
-    gateway.GatewayNode.attempt_done = again  # type: ignore[method-assign]
+    gateway.GatewayService.attempt_done = again  # type: ignore[method-assign]
 
 
 def runs_once() -> None:
@@ -100,7 +100,7 @@
 def nothing_after_leaving() -> None:
     """A client that left is not noticed."""
     clients.Client.has_left = lambda self: False  # type: ignore[method-assign]
-    gateway.GatewayNode.gone = lambda self, slot: None  # type: ignore[method-assign]
+    gateway.GatewayService.handle_client_gone = lambda self, slot: None  # type: ignore[method-assign]
     hold_back(LATE)
 
 
@@ -202,6 +202,6 @@
 }
 
 if __name__ == "__main__":
-    hangups = Hangups()
+    hangups = SighupCounter()
     BREAKS[sys.argv[1]]()
     sys.exit(program.main(hangups))
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -10,13 +10,13 @@
 from aiohttp import web
 
 from calicomast.net.config import read_config
-from calicomast.net.gateway import GatewayNode
+from calicomast.net.gateway import GatewayService
 from emulator.virtual_loop import VirtualLoop
 
 PATIENCE = 20  # s for a test as a whole: far over what any needs
 TERMS = b"c=read,t=p,d=3000,units=1,spread=1,first=0"
-VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-SERVED = b"$5\r\nvalue\r\n"
+SERVER_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+CLIENT_REPLY = b"$5\r\nvalue\r\n"
 
 SETTINGS = {
     "group_size": 1,
@@ -102,17 +102,17 @@
     return run
 
 
-def command(id=b"r1", terms=TERMS, verb=b"API.READ", customer=b"00000000b4d65521", body=None):
-    parts = [verb, customer, id, terms] + ([body] if body is not None else [])
+def command(id=b"r1", fields=TERMS, verb=b"API.READ", tenant=b"00000000b4d65521", body=None):
+    parts = [verb, tenant, id, fields] + ([body] if body is not None else [])
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(p), p) for p in parts)
 
 
-def terms(**kw):
+def command_fields(**kw):
     fields = dict(c="read", t="p", d="3000", units="1", spread="1", first="0") | kw
     return ",".join(f"{k}={v}" for k, v in fields.items() if v is not None).encode()
 
 
-def write(id=b"r1", cls=b"write", d=3000):
+def write_command(id=b"r1", cls=b"write", d=3000):
     terms = b"c=%s,t=p,d=%d,k=77,units=1,spread=1,first=0" % (cls, d)
     return command(id, terms, b"API.WRITE", body=b"BODY")
 
@@ -125,18 +125,18 @@
     return line
 
 
-class Served:
+class StubListener:
     """A listener on a free port of 127.0.0.1."""
 
     def __init__(self):
         self.writers = []
 
     async def __aenter__(self):
-        self.server = await asyncio.start_server(self.joined, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.handle_connection, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    async def joined(self, reader, writer):
+    async def handle_connection(self, reader, writer):
         self.writers.append(writer)
         try:
             await self.serve(reader, writer)
@@ -151,10 +151,10 @@
             writer.close()
 
 
-class StubHost(Served):
+class StubServer(StubListener):
     """Answers each command with `answer` or what that returns; None: it keeps silent; b"": it breaks off."""
 
-    def __init__(self, answer=VALUE):
+    def __init__(self, answer=SERVER_REPLY):
         super().__init__()
         self.answer, self.commands, self.arrived = answer, [], asyncio.Queue()
         self.open = 0
@@ -178,7 +178,7 @@
             self.arrived.put_nowait(None)
 
 
-class SaturatedHost(StubHost):
+class SaturatedServer(StubServer):
     """A host whose connections do not come up until `open` was called: its listener's queue is full, and the
     system sends the first packet again a second later."""
 
@@ -197,7 +197,7 @@
         for filler in self.fillers:
             filler.close()
         self.fillers = []
-        self.server = await asyncio.start_server(self.joined, sock=self.listener)
+        self.server = await asyncio.start_server(self.handle_connection, sock=self.listener)
 
     async def __aexit__(self, *_):
         if self.fillers:  # it never had room
@@ -205,17 +205,17 @@
         await super().__aexit__()
 
 
-def time_told(host):
+def propagated_deadline_ms(host):
     """The milliseconds that the last command told its host."""
     return int(dict(term.split(b"=") for term in host.commands[-1][3].split(b","))[b"d"])
 
 
-class StubCounter(Served):
+class StubCounter(StubListener):
     """Keeps totals; `silent` leaves calls unanswered until `answer_all`."""
 
     def __init__(self):
         super().__init__()
-        self.calls, self.totals, self.silent, self.held = [], {}, False, []
+        self.calls, self.totals, self.silent, self.held_replies = [], {}, False, []
         self.arrived = asyncio.Queue()
 
     async def serve(self, reader, writer):
@@ -229,14 +229,14 @@
             answer = b"ok %.7g\r\n" % self.totals[words[1]]
             self.arrived.put_nowait(words)
             if self.silent:
-                self.held.append((writer, answer))
+                self.held_replies.append((writer, answer))
             else:
                 writer.write(answer)
 
     def answer_all(self):
-        for writer, answer in self.held:
+        for writer, answer in self.held_replies:
             writer.write(answer)
-        self.held = []
+        self.held_replies = []
 
 
 class StubDiscovery:
@@ -244,18 +244,18 @@
     `busy`: it turns so many calls away."""
 
     def __init__(self):
-        self.servers, self.version, self.raw, self.silent = [], 1, None, False
-        self.calls, self.changes, self.busy = asyncio.Queue(), asyncio.Queue(), 0
+        self.servers, self.version, self.raw_response, self.silent = [], 1, None, False
+        self.calls, self.changes, self.busy_responses = asyncio.Queue(), asyncio.Queue(), 0
 
     async def answer(self, request):
         self.calls.put_nowait(dict(request.query))
-        if self.busy:
-            self.busy -= 1
+        if self.busy_responses:
+            self.busy_responses -= 1
             return web.Response(status=503)
         if self.silent:
             await asyncio.Event().wait()
-        if self.raw is not None:
-            raw, self.raw = self.raw, None
+        if self.raw_response is not None:
+            raw, self.raw_response = self.raw_response, None
             return web.Response(text=raw)
         if "index" in request.query:
             try:
@@ -281,7 +281,7 @@
         await self.runner.cleanup()
 
 
-def entry(host, name="h1", state="up", port=None):
+def server_entry(host, name="h1", state="up", port=None):
     return {
         "id": name,
         "addr": f"127.0.0.1:{port or host.port}",
@@ -294,7 +294,7 @@
     }
 
 
-def told(listed, discovery_port, counter_port, settings=None):
+def gateway_config(listed, discovery_port, counter_port, settings=None):
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -307,7 +307,7 @@
     }
 
 
-class Node:
+class GatewayHarness:
     """A gateway with a counter and discovery of its own and the given hosts, named h1, h2 and so on."""
 
     def __init__(self, *hosts, path, settings=None):
@@ -317,13 +317,15 @@
     async def __aenter__(self):
         await self.counter.__aenter__()
         await self.discovery.__aenter__()
-        listed = [entry(h, f"h{n}") for n, h in enumerate(self.hosts, 1)]
+        listed = [server_entry(h, f"h{n}") for n, h in enumerate(self.hosts, 1)]
         self.discovery.servers = listed
         file = self.path / "config.json"
-        file.write_text(json.dumps(told(listed, self.discovery.port, self.counter.port, self.settings)))
-        self.node = GatewayNode(read_config({"RELAY_CONFIG": str(file)}))
-        await self.node.start()
-        self.port = await self.node.listen()
+        file.write_text(
+            json.dumps(gateway_config(listed, self.discovery.port, self.counter.port, self.settings))
+        )
+        self.service = GatewayService(read_config({"RELAY_CONFIG": str(file)}))
+        await self.service.start()
+        self.port = await self.service.listen()
         return self
 
     async def connect(self):
@@ -331,7 +333,7 @@
         self.writers.append(writer)
         return reader, writer
 
-    async def ask(self, text):
+    async def send_command(self, text):
         """One command on a connection of its own; the answer."""
         reader, writer = await self.connect()
         writer.write(text)
@@ -342,9 +344,9 @@
     async def __aexit__(self, *_):
         for writer in self.writers:
             writer.close()
-        self.node.clients.finish()
-        self.node.hosts.close()
-        self.node.counter.close()
-        await self.node.discovery.close()
+        self.service.clients.finish()
+        self.service.server_connections.close()
+        self.service.counter.close()
+        await self.service.discovery.close()
         await self.discovery.__aexit__()
         await self.counter.__aexit__()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,16 +12,16 @@
 
 import pytest
 from netkit import (
-    SERVED,
+    CLIENT_REPLY,
     StubCounter,
     StubDiscovery,
-    StubHost,
+    StubServer,
     command,
-    entry,
+    gateway_config,
     on_loop,
+    propagated_deadline_ms,
     read_reply,
-    time_told,
-    told,
+    server_entry,
 )
 from test_net_process import PROGRAM
 
@@ -40,7 +40,7 @@
 
     def __init__(self, shim, path, settings=None):
         self.faults, self.path, self.settings = Faults(shim, path / "faults"), path, settings
-        self.host, self.counter, self.discovery = StubHost(), StubCounter(), StubDiscovery()
+        self.host, self.counter, self.discovery = StubServer(), StubCounter(), StubDiscovery()
 
     async def __aenter__(self):
         await self.start()
@@ -53,9 +53,9 @@
         self.stack = contextlib.AsyncExitStack()
         for stub in (self.host, self.counter, self.discovery):
             await self.stack.enter_async_context(stub)
-        self.discovery.servers = [entry(self.host)]
+        self.discovery.servers = [server_entry(self.host)]
         config = self.path / "config.json"
-        text = told(self.discovery.servers, self.discovery.port, self.counter.port, self.settings)
+        text = gateway_config(self.discovery.servers, self.discovery.port, self.counter.port, self.settings)
         config.write_text(json.dumps(text))
         self.program = await asyncio.create_subprocess_exec(
             *PROGRAM,
@@ -92,7 +92,7 @@
     async with FaultyGateway(shim, tmp_path) as gateway:
         reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
         writer.write(command(b"first"))
-        assert await read_reply(reader) == SERVED  # so that this connection does not wait for accept
+        assert await read_reply(reader) == CLIENT_REPLY  # so that this connection does not wait for accept
         for number in ACCEPT_ERRORS:
             failed = gateway.faults[Field.ACCEPT_FAILED]
             gateway.faults.fail_accept(number)
@@ -100,10 +100,10 @@
             await gateway.until(Field.ACCEPT_FAILED, failed + 1)
             for n in range(20):
                 writer.write(command(b"r%d-%d" % (n, number)))
-                assert await read_reply(reader) == SERVED  # while accept still fails
+                assert await read_reply(reader) == CLIENT_REPLY  # while accept still fails
             assert gateway.faults[Field.ACCEPT_FAILED] - failed < MOST_FAILED
             gateway.faults.fail_accept(number, every=2)  # a call that follows a failed one may go well
-            assert await asyncio.gather(*waiting) == [SERVED] * 8
+            assert await asyncio.gather(*waiting) == [CLIENT_REPLY] * 8
             gateway.faults.fail_accept(0)
         writer.close()
 
@@ -119,8 +119,8 @@
         await asyncio.sleep(0.5)
         waited = time.monotonic() - asked  # it cannot have been read before
         gateway.faults.fail_accept(0)
-        assert await read_reply(reader) == SERVED
-        assert time_told(gateway.host) <= 3000 - 1000 * waited + 150
+        assert await read_reply(reader) == CLIENT_REPLY
+        assert propagated_deadline_ms(gateway.host) <= 3000 - 1000 * waited + 150
         writer.close()
 
 
@@ -142,7 +142,7 @@
             asked = [asyncio.create_task(gateway.ask(b"r%d-%d" % (n, number))) for n in range(5)]
             await gateway.until(Field.CONNECT_FAILED, failed + 3)
             gateway.faults.fail_connect(0)
-            assert await asyncio.gather(*asked) == [SERVED] * 5
+            assert await asyncio.gather(*asked) == [CLIENT_REPLY] * 5
             for writer in gateway.host.writers:  # so that the next attempts have to connect again
                 writer.close()
 
@@ -156,7 +156,7 @@
     gateway.faults.fail_socket(0)
     await starting
     try:
-        assert await gateway.ask(b"r1") == SERVED
+        assert await gateway.ask(b"r1") == CLIENT_REPLY
     finally:
         await gateway.__aexit__()
 
@@ -167,7 +167,7 @@
     async with FaultyGateway(shim, tmp_path) as gateway:
         reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
         writer.write(command(b"first"))
-        assert await read_reply(reader) == SERVED
+        assert await read_reply(reader) == CLIENT_REPLY
         pid, (soft, hard) = gateway.program.pid, resource.prlimit(gateway.program.pid, resource.RLIMIT_NOFILE)
         gateway.host.writers.pop().close()  # the next attempt has to connect
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (3, hard))
@@ -176,6 +176,6 @@
         await asyncio.sleep(0.3)
         assert not any(task.done() for task in waiting)
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (soft, hard))
-        assert await asyncio.gather(*waiting) == [SERVED] * 5
-        assert await read_reply(reader) == SERVED
+        assert await asyncio.gather(*waiting) == [CLIENT_REPLY] * 5
+        assert await read_reply(reader) == CLIENT_REPLY
         writer.close()
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -6,7 +6,17 @@
 import time
 
 import pytest
-from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, terms, time_told
+from netkit import (
+    CLIENT_REPLY,
+    SERVER_REPLY,
+    GatewayHarness,
+    StubServer,
+    command,
+    command_fields,
+    on_loop,
+    propagated_deadline_ms,
+    read_reply,
+)
 
 from calicomast.net import clients, gateway
 
@@ -19,42 +29,42 @@
         b"*-1\r\n",
         b":5\r\n",
         b"*2\r\n$8\r\nAPI.READ\r\n:0\r\n",
-        command(terms=terms(d=None)),
-        command(terms=terms(d="soon")),
-        command(terms=terms(d="-1")),
-        command(terms=terms(c="none")),
-        command(terms=terms(t="none")),
-        command(terms=terms(units="nan")),
-        command(terms=terms(spread="0")),
-        command(terms=terms(c="note")),
-        command(terms=b"\xff\xfe"),
-        command(terms=terms(c=None)),
-        command(customer=b"xyz"),
+        command(fields=command_fields(d=None)),
+        command(fields=command_fields(d="soon")),
+        command(fields=command_fields(d="-1")),
+        command(fields=command_fields(c="none")),
+        command(fields=command_fields(t="none")),
+        command(fields=command_fields(units="nan")),
+        command(fields=command_fields(spread="0")),
+        command(fields=command_fields(c="note")),
+        command(fields=b"\xff\xfe"),
+        command(fields=command_fields(c=None)),
+        command(tenant=b"xyz"),
         command(id=b""),
         command(body=b"BODY"),
-        command(terms=terms(d="1_0")),
-        command(terms=terms(d="+10")),
-        command(terms=terms(d=" 10")),
-        command(terms=terms(units="0")),
-        command(terms=terms(units="2")),
-        command(terms=terms(units="1_0")),
-        command(terms=terms(spread="2")),
-        command(terms=terms(first="1")),
-        command(terms=terms(first="-1")),
-        command(customer=b"0x000000b4d65521"),
-        command(customer=b"ffffffffb4d65521"),
+        command(fields=command_fields(d="1_0")),
+        command(fields=command_fields(d="+10")),
+        command(fields=command_fields(d=" 10")),
+        command(fields=command_fields(units="0")),
+        command(fields=command_fields(units="2")),
+        command(fields=command_fields(units="1_0")),
+        command(fields=command_fields(spread="2")),
+        command(fields=command_fields(first="1")),
+        command(fields=command_fields(first="-1")),
+        command(tenant=b"0x000000b4d65521"),
+        command(tenant=b"ffffffffb4d65521"),
         command(id=b"x" * 65),
-        command(terms=terms() + b",d=2000"),
-        command(terms=terms(d="9" * 400)),
-        command(terms=terms(d="9" * 12)),
-        command(terms=terms(units="1e999")),
-        command(terms=terms(c="write"), verb=b"API.WRITE", body=b"x"),  # keyed, without its key
-        command(terms=terms(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
+        command(fields=command_fields() + b",d=2000"),
+        command(fields=command_fields(d="9" * 400)),
+        command(fields=command_fields(d="9" * 12)),
+        command(fields=command_fields(units="1e999")),
+        command(fields=command_fields(c="write"), verb=b"API.WRITE", body=b"x"),  # keyed, without its key
+        command(fields=command_fields(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
     ],
 )
 @on_loop
 async def test_bad_commands_are_answered_and_the_connection_goes_on(bad, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(bad + b"*1\r\n$4\r\nPING\r\n")
         assert (await read_reply(reader)).startswith(b"-ERR")
@@ -83,50 +93,50 @@
 )
 @on_loop
 async def test_lost_framing_ends_only_its_own_connection(bad, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(bad)
         assert (await read_reply(reader)).startswith(b"-ERR")
         assert await read_reply(reader) == b""
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
 
 
 @on_loop
 async def test_answers_come_in_the_order_of_the_commands(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(answer=None) as host, GatewayHarness(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"slow"))
         await host.arrived.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n")
-        host.writers[0].write(VALUE)
-        assert await read_reply(reader) == SERVED
+        host.writers[0].write(SERVER_REPLY)
+        assert await read_reply(reader) == CLIENT_REPLY
         assert await read_reply(reader) == b"+PONG\r\n"
 
 
 @on_loop
 async def test_a_client_that_left_has_its_attempt_called_off(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(answer=None) as host, GatewayHarness(host, path=tmp_path) as node:
         _, writer = await node.connect()
         writer.write(command())
         await host.arrived.get()
         writer.close()
         assert await host.arrived.get() is None  # the connection to the host ended
-        assert not node.node.works
+        assert not node.service.active_requests
 
 
 @on_loop
 async def test_what_comes_on_a_connection_that_is_to_close_is_served(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
-        node.node.clients.finish()
+        node.service.clients.finish()
         writer.write(command(b"second"))
         while (await host.arrived.get())[2] != b"second":
             pass
         for out in host.writers:
-            out.write(VALUE)
-        assert [await read_reply(reader) for _ in range(3)] == [SERVED, SERVED, b""]
+            out.write(SERVER_REPLY)
+        assert [await read_reply(reader) for _ in range(3)] == [CLIENT_REPLY, CLIENT_REPLY, b""]
 
 
 @pytest.mark.parametrize(
@@ -135,32 +145,32 @@
 @on_loop
 async def test_a_connection_without_a_request_is_closed_in_time(sent, told, tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE", 0.1)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(sent)
         assert (await read_reply(reader)).startswith(told)
         assert await reader.read() == b""
-        while node.node.clients.clients:
+        while node.service.clients.clients:
             await asyncio.sleep(0.01)
-        assert not (node.node.clients.idle or node.node.clients.ending or node.node.clients.partial)
+        assert not (node.service.clients.idle or node.service.clients.ending or node.service.clients.partial)
 
 
 @on_loop
 async def test_a_connection_with_a_request_in_work_is_not_idle(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE", 0.1)
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         idle, _ = await node.connect()
         writer.write(command())
         await host.arrived.get()
         assert await idle.read() == b""  # this one went, some sweeps later
-        host.writers[0].write(VALUE)
-        assert await read_reply(reader) == SERVED
+        host.writers[0].write(SERVER_REPLY)
+        assert await read_reply(reader) == CLIENT_REPLY
 
 
 @on_loop
 async def test_lost_framing_does_not_wait_for_what_is_in_work(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command())
         await host.arrived.get()
@@ -168,30 +178,30 @@
         assert await read_reply(reader) == b"-ERR failed\r\n"  # its one answer, though the host is silent
         assert (await read_reply(reader)).startswith(b"-ERR protocol")
         assert await reader.read() == b""  # an end, not a reset, though there was more to read
-        assert await host.arrived.get() is None and not node.node.works
+        assert await host.arrived.get() is None and not node.service.active_requests
 
 
 @on_loop
 async def test_who_takes_no_answers_is_let_go(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "STUCK", 0.1)
-    async with StubHost(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
-        async with Node(host, path=tmp_path) as node:
+    async with StubServer(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
+        async with GatewayHarness(host, path=tmp_path) as node:
             _, writer = await node.connect()
             writer.transport.pause_reading()
             with contextlib.suppress(ConnectionError):
                 for n in range(400):
                     writer.write(command(b"r%d" % n))
                     await writer.drain()
-            while node.node.clients.clients:
+            while node.service.clients.clients:
                 await asyncio.sleep(0.01)
-            assert not (node.node.works or node.node.held)
+            assert not (node.service.active_requests or node.service.held_body_bytes)
 
 
 @on_loop
 async def test_at_the_limit_the_longest_idle_goes_and_with_all_busy_the_newcomer(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        node.node.clients.most = 2
-        node.node.module.fleet.limit = 100.0
+    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
+        node.service.clients.most = 2
+        node.service.policy.fleet.limit = 100.0
         first, _ = await node.connect()
         busy = []
         for n in range(2):
@@ -203,8 +213,8 @@
         last, _ = await node.connect()
         assert (await read_reply(last)).startswith(b"-ERR too many") and await last.read() == b""
         for writer in host.writers:
-            writer.write(VALUE)
-        assert [await read_reply(reader) for reader in busy] == [SERVED, SERVED]
+            writer.write(SERVER_REPLY)
+        assert [await read_reply(reader) for reader in busy] == [CLIENT_REPLY, CLIENT_REPLY]
 
 
 LONG = b"$60000\r\n" + b"v" * 60000 + b"\r\n"
@@ -216,8 +226,8 @@
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client.connect(("127.0.0.1", node.port))
     client.setblocking(False)
-    before = set(node.node.clients.clients)
-    while not (there := node.node.clients.clients - before):
+    before = set(node.service.clients.clients)
+    while not (there := node.service.clients.clients - before):
         await asyncio.sleep(0)
     (served,) = there
     served.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -226,24 +236,24 @@
         def handle(self, now, event):
             return []
 
-    module, node.node.module = node.node.module, Mute()
+    module, node.service.policy = node.service.policy, Mute()
     client.send(b"".join(command(b"u%d" % n) for n in range(count)))
     while len(served.pending) < count:
         await asyncio.sleep(0)
-    node.node.module = module
-    for work in list(node.node.works.values()):
-        node.node.finish(work, LONG)
+    node.service.policy = module
+    for work in list(node.service.active_requests.values()):
+        node.service.finish_request(work, LONG)
     assert served.transport.get_write_buffer_size()
     return client, served
 
 
 @on_loop
 async def test_room_is_not_made_at_the_cost_of_an_answer_that_is_not_taken_yet(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         client, served = await untaken(node)
         served.close_when_done(clients.CloseReason.IDLE)
-        assert served in node.node.clients.ending
-        node.node.clients.most = 1
+        assert served in node.service.clients.ending
+        node.service.clients.most = 1
         reader, _ = await node.connect()
         assert (await read_reply(reader)).startswith(b"-ERR too many")
         assert await take(client) == LONG * 10
@@ -251,8 +261,8 @@
 
 @on_loop
 async def test_each_newcomer_takes_the_place_of_another(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        server = node.node.clients
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        server = node.service.clients
         for _ in range(4):
             await node.connect()
         while len(server.clients) < 4:
@@ -268,8 +278,8 @@
 
 @on_loop
 async def test_one_that_is_turned_away_hears_of_it_though_it_has_asked(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        node.node.clients.most = 1
+    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
+        node.service.clients.most = 1
         busy, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
@@ -277,14 +287,14 @@
         for client in asked:
             client.shutdown(socket.SHUT_WR)
             assert (await take(client)).startswith(b"-ERR too many")  # an end, not a reset
-        while len(node.node.clients.clients) > 1:
+        while len(node.service.clients.clients) > 1:
             await asyncio.sleep(0)
         for _ in range(2 * clients.MOST_AWAY):
             await node.connect()
         await asyncio.sleep(0)
-        assert len(node.node.clients.clients) <= clients.MOST_AWAY + 3  # a few may be on their way
-        host.writers[0].write(VALUE)
-        assert await read_reply(busy) == SERVED and len(host.commands) == 1
+        assert len(node.service.clients.clients) <= clients.MOST_AWAY + 3  # a few may be on their way
+        host.writers[0].write(SERVER_REPLY)
+        assert await read_reply(busy) == CLIENT_REPLY and len(host.commands) == 1
 
 
 @pytest.mark.parametrize("ends", [False, True])
@@ -292,24 +302,24 @@
 async def test_answers_are_waited_for_while_they_count_and_no_longer(ends, tmp_path, monkeypatch):
     for name in ("ENDING", "STUCK"):
         monkeypatch.setattr(clients, name, 0.0)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         client, served = await untaken(node)
         if ends:
             served.close_when_done(clients.CloseReason.IDLE)
         now = clients.monotonic() + 1.0
         monkeypatch.setattr(clients, "monotonic", lambda: now)
-        node.node.clients.sweep()
-        assert served not in node.node.clients.leaving
-        now += 2.0 + gateway.STILL  # past all deadlines
-        node.node.clients.sweep()
-        assert served in node.node.clients.leaving
+        node.service.clients.sweep()
+        assert served not in node.service.clients.leaving
+        now += 2.0 + gateway.LATE_ANSWER_GRACE  # past all deadlines
+        node.service.clients.sweep()
+        assert served in node.service.clients.leaving
         client.close()
 
 
 @on_loop
 async def test_half_commands_together_are_bounded(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.clients.most_partial = 100_000
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        node.service.clients.most_partial = 100_000
         readers = []
         for _ in range(3):
             reader, writer = await node.connect()
@@ -317,37 +327,40 @@
             readers.append(asyncio.create_task(read_reply(reader)))
         done, _ = await asyncio.wait(readers, return_when=asyncio.FIRST_COMPLETED)
         assert [task.result() for task in done] == [b"-ERR too much in work\r\n"]
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
 
 
 @on_loop
 async def test_a_client_that_sent_much_and_left_is_noticed_though_it_is_not_read(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
 
         class Mute:
             def handle(self, now, event):
                 return []
 
-        node.node.module = Mute()
+        node.service.policy = Mute()
         _, writer = await node.connect()
         for n in range(clients.MOST_PENDING):
-            writer.write(command(b"r%d" % n, terms=terms(d="600000")))
-        while not (there := list(node.node.clients.clients)) or len(there[0].pending) < clients.MOST_PENDING:
+            writer.write(command(b"r%d" % n, fields=command_fields(d="600000")))
+        while (
+            not (there := list(node.service.clients.clients)) or len(there[0].pending) < clients.MOST_PENDING
+        ):
             await asyncio.sleep(0)
         assert there[0].reads_paused
         writer.write(command(b"unread"))
         writer.close()
-        while node.node.works or node.node.clients.clients:  # long before any of their deadlines
+        # long before any of their deadlines
+        while node.service.active_requests or node.service.clients.clients:
             await asyncio.sleep(0)
-        assert not node.node.clients.unread
+        assert not node.service.clients.unread
 
 
 @on_loop
 async def test_a_client_that_left_with_answers_not_taken_has_its_requests_ended(tmp_path, monkeypatch):
     """Its connection cannot be flushed, so it is not lost to the loop for a while yet."""
     monkeypatch.setattr(clients, "STUCK", 600.0)
-    async with StubHost(b"*3\r\n$20000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 20000)) as host:
-        async with Node(host, path=tmp_path) as node:
+    async with StubServer(b"*3\r\n$20000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 20000)) as host:
+        async with GatewayHarness(host, path=tmp_path) as node:
             _, writer = await node.connect()
             writer.transport.pause_reading()
             served, client = 0, None
@@ -356,15 +369,15 @@
                 served += 1
                 while len(host.commands) < served or client is None or client.pending:
                     await asyncio.sleep(0)
-                    (client,) = node.node.clients.clients
+                    (client,) = node.service.clients.clients
                 await asyncio.sleep(0)
             host.answer = None
-            writer.write(command(b"waits", terms=terms(d="600000")))
+            writer.write(command(b"waits", fields=command_fields(d="600000")))
             while not client.pending:
                 await asyncio.sleep(0)
             assert not client.reads_paused  # it is read, and its end is seen
             writer.write_eof()  # half closed, as the end of one that leaves looks at first
-            while node.node.works:
+            while node.service.active_requests:
                 await asyncio.sleep(0)
             assert client.transport.get_write_buffer_size()
 
@@ -388,68 +401,68 @@
 
 @on_loop
 async def test_what_was_sent_before_an_idle_connection_is_closed_is_served(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         client = blocking(node, b"")
-        while not node.node.clients.clients:
+        while not node.service.clients.clients:
             await asyncio.sleep(0)
         client.send(command())  # lies unread
-        node.node.clients.finish()
-        assert await take(client) == SERVED
+        node.service.clients.finish()
+        assert await take(client) == CLIENT_REPLY
 
 
 @on_loop
 async def test_commands_read_together_before_a_close_are_all_answered(tmp_path):
     """Though the first of them is answered at once, which leaves nothing in work."""
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         client = blocking(node, b"")
-        while not node.node.clients.clients:
+        while not node.service.clients.clients:
             await asyncio.sleep(0)
-        client.send(b"*1\r\n$4\r\nPING\r\n" + command(b"refused", terms=terms(d="1")) + command())
-        node.node.clients.finish()
-        assert await take(client) == b"+PONG\r\n-BUSY\r\n" + SERVED
+        client.send(b"*1\r\n$4\r\nPING\r\n" + command(b"refused", fields=command_fields(d="1")) + command())
+        node.service.clients.finish()
+        assert await take(client) == b"+PONG\r\n-BUSY\r\n" + CLIENT_REPLY
 
 
 @on_loop
 async def test_a_command_behind_the_last_answer_is_served_before_the_close(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
         client = blocking(node, command(b"first"))
         await host.arrived.get()
-        node.node.clients.finish()
-        (work,) = node.node.works.values()
+        node.service.clients.finish()
+        (work,) = node.service.active_requests.values()
         client.send(command(b"second"))  # lies unread
-        host.answer = VALUE
-        node.node.finish(work, SERVED)
-        assert await take(client) == SERVED * 2
+        host.answer = SERVER_REPLY
+        node.service.finish_request(work, CLIENT_REPLY)
+        assert await take(client) == CLIENT_REPLY * 2
 
 
 @on_loop
 async def test_connections_that_wait_at_the_listener_are_served_at_the_end(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         ping, pong = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
         asked = [blocking(node, ping) for _ in range(60)] + [
             blocking(node, command(b"r%d" % n)) for n in range(8)
         ]
-        assert not node.node.clients.clients
-        await node.node.clients.no_more()
-        node.node.clients.finish()
-        assert [await take(client) for client in asked] == [pong] * 60 + [SERVED] * 8
+        assert not node.service.clients.clients
+        await node.service.clients.no_more()
+        node.service.clients.finish()
+        assert [await take(client) for client in asked] == [pong] * 60 + [CLIENT_REPLY] * 8
         with pytest.raises(ConnectionError):
             blocking(node, b"")
 
 
 @on_loop
 async def test_a_command_in_two_parts_crosses_the_end_of_the_idle_time(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         text, (reader, writer) = command(), await node.connect()
         writer.write(text[:9])
-        while not (there := list(node.node.clients.clients)) or not there[0].partial:
+        while not (there := list(node.service.clients.clients)) or not there[0].partial:
             await asyncio.sleep(0)
-        (client,), server = there, node.node.clients
+        (client,), server = there, node.service.clients
         server.idle[client] -= clients.IDLE  # as if the first part had come at its end
         server.sweep()
         client.began -= clients.HALF
         writer.write(text[9:] + text[:9])  # the next one's time begins with its own first part
-        assert await read_reply(reader) == SERVED
+        assert await read_reply(reader) == CLIENT_REPLY
         while not client.partial or client not in server.idle:
             await asyncio.sleep(0)
         server.idle[client] -= clients.IDLE
@@ -463,28 +476,29 @@
 
 @on_loop
 async def test_what_a_client_not_read_for_a_while_has_sent_is_served_before_its_close(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
 
         class Mute:
             def handle(self, now, event):
                 return []
 
-        module, node.node.module = node.node.module, Mute()
+        module, node.service.policy = node.service.policy, Mute()
         reader, writer = await node.connect()
         for n in range(clients.MOST_PENDING):
             writer.write(command(b"r%d" % n))
-        while not node.node.clients.unread:
+        while not node.service.clients.unread:
             await asyncio.sleep(0)
-        (client,) = node.node.clients.unread
+        (client,) = node.service.clients.unread
         writer.write(command(b"last"))
         while not client.unread():
             await asyncio.sleep(0)
-        node.node.module = module
-        node.node.clients.finish()
-        for work in list(node.node.works.values())[::-1]:  # so that the first releases all the others
-            node.node.finish(work, SERVED)
+        node.service.policy = module
+        node.service.clients.finish()
+        # so that the first releases all the others
+        for work in list(node.service.active_requests.values())[::-1]:
+            node.service.finish_request(work, CLIENT_REPLY)
         assert [await read_reply(reader) for _ in range(clients.MOST_PENDING + 2)] == (
-            [SERVED] * (clients.MOST_PENDING + 1) + [b""]
+            [CLIENT_REPLY] * (clients.MOST_PENDING + 1) + [b""]
         )
         assert [c[2] for c in host.commands] == [b"last"]
 
@@ -492,9 +506,9 @@
 @on_loop
 async def test_half_a_command_ends_in_time_though_another_is_in_work(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE", 0.1)
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
         reader, writer = await node.connect()
-        writer.write(command(b"r1", terms=terms(d="3600000")))
+        writer.write(command(b"r1", fields=command_fields(d="3600000")))
         await host.arrived.get()
         writer.write(command(b"r2")[:9])
         assert await read_reply(reader) == b"-ERR failed\r\n"
@@ -504,34 +518,34 @@
 
 @on_loop
 async def test_what_lay_unread_while_a_client_was_not_read_has_only_the_rest_of_its_time(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
 
         class Mute:
             def handle(self, now, event):
                 return []
 
-        module, node.node.module = node.node.module, Mute()
+        module, node.service.policy = node.service.policy, Mute()
         reader, writer = await node.connect()
         for n in range(clients.MOST_PENDING):
             writer.write(command(b"r%d" % n))
-        while not node.node.clients.unread:
+        while not node.service.clients.unread:
             await asyncio.sleep(0)
         writer.write(command(b"last"))
         asked = time.monotonic()
         await asyncio.sleep(0.4)
         waited = time.monotonic() - asked  # it is not read before
-        node.node.module = module
-        for work in list(node.node.works.values()):
-            node.node.finish(work, SERVED)
-        assert [await read_reply(reader) for _ in range(clients.MOST_PENDING + 1)][-1] == SERVED
-        assert time_told(host) <= 3000 - 1000 * waited + 150
+        node.service.policy = module
+        for work in list(node.service.active_requests.values()):
+            node.service.finish_request(work, CLIENT_REPLY)
+        assert [await read_reply(reader) for _ in range(clients.MOST_PENDING + 1)][-1] == CLIENT_REPLY
+        assert propagated_deadline_ms(host) <= 3000 - 1000 * waited + 150
 
 
 @on_loop
 async def test_the_time_of_an_idle_client_begins_with_its_connecting_though_accept_failed(tmp_path):
     """A client that says nothing is owed its close within 3 s of connecting."""
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        server = node.node.clients
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        server = node.service.clients
         before = time.monotonic()
         server.listener._failing_since = before - 1.0  # accept has failed for a second
         await node.connect()
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -3,7 +3,16 @@
 import asyncio
 
 import pytest
-from netkit import SERVED, SETTINGS, Node, StubCounter, StubHost, command, on_loop, terms
+from netkit import (
+    CLIENT_REPLY,
+    SETTINGS,
+    GatewayHarness,
+    StubCounter,
+    StubServer,
+    command,
+    command_fields,
+    on_loop,
+)
 
 from calicomast.net import counter as calls
 from calicomast.net.counter import LINES
@@ -11,8 +20,8 @@
 
 @on_loop
 async def test_a_late_answer_of_the_counter_keeps_its_place(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        counter, results = node.service.counter, asyncio.Queue()
 
         def add(amount):
             counter.add(8, amount, 4, lambda name, *told: results.put_nowait(told[:2]))
@@ -31,8 +40,8 @@
 
 @on_loop
 async def test_the_counter_is_connected_again_and_unwritten_calls_are_told(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        counter, results = node.service.counter, asyncio.Queue()
 
         def add():
             counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
@@ -51,7 +60,9 @@
         add()
         assert await results.get() == "connect_failed"
         node.counter.silent = False
-        node.counter.server = await asyncio.start_server(node.counter.joined, "127.0.0.1", node.counter.port)
+        node.counter.server = await asyncio.start_server(
+            node.counter.handle_connection, "127.0.0.1", node.counter.port
+        )
         while counter.lines[0].transport is None:
             await asyncio.sleep(0.01)
         add()
@@ -63,8 +74,8 @@
 )
 @on_loop
 async def test_odd_answers_of_the_counter_cost_only_the_connection(odd, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        counter, results = node.service.counter, asyncio.Queue()
         while counter.lines[0].transport is None:
             await asyncio.sleep(0)
         old, node.counter.silent = counter.lines[0].transport, True
@@ -75,13 +86,13 @@
         assert await results.get() == "spoilt"
         while counter.lines[0].transport in (None, old):
             await asyncio.sleep(0.01)
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
 
 
 @on_loop
 async def test_calls_to_an_old_address_get_their_answers_and_its_lines_end(tmp_path):
-    async with StubCounter() as new, StubHost() as host, Node(host, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubCounter() as new, StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        counter, results = node.service.counter, asyncio.Queue()
 
         def add(amount):
             counter.add(8, amount, 4, lambda name, *told: results.put_nowait(told[:2]))
@@ -106,8 +117,8 @@
 
 @on_loop
 async def test_a_line_that_is_made_again_is_stood_in_for(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        counter, results = node.service.counter, asyncio.Queue()
 
         def add():
             counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait((result, total)))
@@ -117,7 +128,7 @@
         node.counter.silent = True
         add()
         await node.counter.arrived.get()
-        ((spoilt, _),) = node.counter.held
+        ((spoilt, _),) = node.counter.held_replies
         spoilt.write(b"ok {}\r\n")
         assert (await results.get())[0] == "spoilt"  # it was added, but what it made is not known
         node.counter.silent = False
@@ -129,36 +140,36 @@
 async def test_rounding_of_totals_is_not_taken_for_lost_counts(tmp_path):
     """Amounts and totals have seven digits on the wire; what is missing by them was never lost."""
     few = {**SETTINGS, "plans": [{"name": "p", "rate": 1.0, "most_at_once": 40.0}]}
-    async with StubHost() as host, Node(host, path=tmp_path, settings=few) as node:
-        while any(line.transport is None for line in node.node.counter.lines):
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path, settings=few) as node:
+        while any(line.transport is None for line in node.service.counter.lines):
             await asyncio.sleep(0)
-        await node.ask(command())
-        (acct,) = node.node.module.accounts.values()
+        await node.send_command(command())
+        (acct,) = node.service.policy.accounts.values()
         now = acct.start + acct.length + 1.0  # early in a window, whenever this runs
-        node.node.clock = lambda: now
-        await node.ask(command(b"r"))
+        node.service.clock = lambda: now
+        await node.send_command(command(b"r"))
         acct.debt = 10 / 3  # an overdraft of the last window, brought along once the first call is answered
-        replies = [await node.ask(command(b"r%d" % n)) for n in range(90)]
+        replies = [await node.send_command(command(b"r%d" % n)) for n in range(90)]
         assert len(node.counter.calls) > 3
-        assert max(node.counter.totals.values()) < 6 + 1.1 * replies.count(SERVED)
+        assert max(node.counter.totals.values()) < 6 + 1.1 * replies.count(CLIENT_REPLY)
 
 
 @on_loop
 async def test_without_the_counter_a_customer_keeps_the_part_that_passed_here_before(tmp_path):
     two = {**SETTINGS, "group_size": 2, "plans": [{"name": "p", "rate": 10.0, "most_at_once": 20.0}]}
-    async with StubHost() as host, Node(host, path=tmp_path, settings=two) as node:
-        lines = node.node.counter.lines
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path, settings=two) as node:
+        lines = node.service.counter.lines
         while any(line.transport is None for line in lines):
             await asyncio.sleep(0)
 
         async def ask(n):
-            return (await node.ask(command(b"r%d" % n, terms(spread=2)))) == SERVED
+            return (await node.send_command(command(b"r%d" % n, command_fields(spread=2)))) == CLIENT_REPLY
 
         await ask(1)
-        (acct,) = node.node.module.accounts.values()
+        (acct,) = node.service.policy.accounts.values()
         now = acct.start + acct.length + 0.5  # at the same place of its windows, whenever this runs
         for window in range(4):  # all that the counter tells of is used here, though two could
-            node.node.clock = lambda at=now + 2 * window: at
+            node.service.clock = lambda at=now + 2 * window: at
             for n in range(14):
                 await ask(100 * window + n)
         node.counter.server.close()
@@ -166,15 +177,15 @@
             writer.transport.abort()
         while any(line.transport for line in lines):
             await asyncio.sleep(0)
-        node.node.clock = lambda: now + 20
+        node.service.clock = lambda: now + 20
         assert sum([await ask(1000 + n) for n in range(20)]) > 15
 
 
 @on_loop
 async def test_a_connection_is_not_held_dead_while_a_call_has_time(tmp_path):
     patient = SETTINGS | {"specifics": SETTINGS["specifics"] | {"counter_timeout": 2_000_000_000}}
-    async with StubHost() as host, Node(host, path=tmp_path, settings=patient) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path, settings=patient) as node:
+        counter, results = node.service.counter, asyncio.Queue()
         while counter.lines[0].transport is None:
             await asyncio.sleep(0)
         node.counter.silent = True
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -5,7 +5,17 @@
 from urllib.parse import parse_qsl, urlsplit
 
 import pytest
-from netkit import SERVED, Node, StubDiscovery, StubHost, command, entry, in_virtual_time, on_loop, told
+from netkit import (
+    CLIENT_REPLY,
+    GatewayHarness,
+    StubDiscovery,
+    StubServer,
+    command,
+    gateway_config,
+    in_virtual_time,
+    on_loop,
+    server_entry,
+)
 
 from calicomast import interface as api
 from calicomast.net import discovery
@@ -16,33 +26,33 @@
 
 def sendable(node):
     """The servers that requests may be sent to."""
-    return {name for name in node.node.servers.entries if node.node.servers.address(name)}
+    return {name for name in node.service.server_table.entries if node.service.server_table.address(name)}
 
 
 @on_loop
 async def test_a_drained_host_gets_nothing_new_nor_what_waits_for_a_connection(tmp_path):
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
         for n in range(4):
-            await node.ask(command(b"a%d" % n))
+            await node.send_command(command(b"a%d" % n))
         await node.discovery.calls.get()
-        node.discovery.changes.put_nowait([entry(one, "h1", "draining")])
+        node.discovery.changes.put_nowait([server_entry(one, "h1", "draining")])
         while (await node.discovery.calls.get()).get("index") != "2":
             pass  # the watch that follows the change: it has been told
         before = len(one.commands)
         for n in range(8):
-            assert await node.ask(command(b"b%d" % n)) == SERVED
+            assert await node.send_command(command(b"b%d" % n)) == CLIENT_REPLY
         assert len(one.commands) == before
 
 
 @on_loop
 async def test_hosts_move_with_the_list(tmp_path):
-    async with StubHost() as old, StubHost() as new, Node(old, path=tmp_path) as node:
-        assert await node.ask(command(b"a")) == SERVED
+    async with StubServer() as old, StubServer() as new, GatewayHarness(old, path=tmp_path) as node:
+        assert await node.send_command(command(b"a")) == CLIENT_REPLY
         await node.discovery.calls.get()
-        node.discovery.changes.put_nowait([entry(new, "h1")])
+        node.discovery.changes.put_nowait([server_entry(new, "h1")])
         while (await node.discovery.calls.get()).get("index") != "2":
             pass
-        assert await node.ask(command(b"b")) == SERVED
+        assert await node.send_command(command(b"b")) == CLIENT_REPLY
         assert [c[2] for c in new.commands] == [b"b"]
 
 
@@ -57,29 +67,29 @@
 )
 @on_loop
 async def test_malformed_lists_leave_the_last_one_in_force(raw, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         await node.discovery.calls.get()
         await node.discovery.calls.get()
-        node.discovery.raw = raw
+        node.discovery.raw_response = raw
         node.discovery.changes.put_nowait([])
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
         while "index" in await node.discovery.calls.get():
             pass  # it asks for the whole list again
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
 async def test_an_odd_entry_does_not_hide_the_drains_beside_it(tmp_path):
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
         await node.discovery.calls.get()
         node.discovery.changes.put_nowait(
             [
                 {"id": "h9"},
                 None,
-                entry(two, "h8") | {"weight": "x"},
-                entry(one, "h1", "draining"),
-                entry(two, "h7") | {"addr": "nowhere"},
-                entry(two, "h6", "odd"),
+                server_entry(two, "h8") | {"weight": "x"},
+                server_entry(one, "h1", "draining"),
+                server_entry(two, "h7") | {"addr": "nowhere"},
+                server_entry(two, "h6", "odd"),
             ]
         )
         while (await node.discovery.calls.get()).get("index") != "2":
@@ -89,20 +99,20 @@
 
 @on_loop
 async def test_changes_to_an_older_list_are_not_taken(tmp_path):
-    async with StubHost() as one, Node(one, path=tmp_path) as node:
+    async with StubServer() as one, GatewayHarness(one, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
-        gone = entry(one, "h1", "removed")
-        node.discovery.raw = json.dumps({"version": 0, "full": False, "servers": [gone]})
+        gone = server_entry(one, "h1", "removed")
+        node.discovery.raw_response = json.dumps({"version": 0, "full": False, "servers": [gone]})
         node.discovery.changes.put_nowait([])
         while "index" in await node.discovery.calls.get():
             pass  # it asks for the whole list again
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
 
 
 @on_loop
 async def test_the_module_hears_of_a_drain_before_what_ends_by_it(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         seen, done = [], asyncio.Event()
 
         class Sender:
@@ -114,14 +124,15 @@
                     return [api.Fail(event.id)]
                 return [api.Send(event.id, "h1")] if isinstance(event, api.Request) else []
 
-        node.node.module = Sender()
-        asked = asyncio.create_task(node.ask(command()))
-        pool = node.node.hosts.pool("h1")
+        node.service.policy = Sender()
+        asked = asyncio.create_task(node.send_command(command()))
+        pool = node.service.server_connections.pool("h1")
         while not pool.coming:  # the attempt waits for its connection
             await asyncio.sleep(0)
         seen.clear()
-        drains = {"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}
-        assert list(node.node.take_list(read_list(json.dumps(drains).encode()))) == []  # in one step
+        drains = {"version": 2, "full": False, "servers": [server_entry(host, "h1", "draining")]}
+        # in one step
+        assert list(node.service.apply_server_list(read_list(json.dumps(drains).encode()))) == []
         await done.wait()
         assert seen == [api.HostList, api.Outcome, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
@@ -131,28 +142,28 @@
 async def test_silent_discovery_is_asked_again_while_the_last_list_serves(tmp_path, monkeypatch):
     monkeypatch.setattr(discovery, "WAIT", 0.1)
     monkeypatch.setattr(discovery, "ANSWER", 0.2)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
         node.discovery.silent = True
         for _ in range(3):  # calls that got no answer are made again, for what came after the list held
             assert (await node.discovery.calls.get())["index"] == "1"
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
         node.discovery.silent = False
         while "index" not in await node.discovery.calls.get():
             pass  # it watches again
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
 async def test_a_busy_discovery_is_not_asked_for_the_whole_list(tmp_path, monkeypatch):
     monkeypatch.setattr(discovery, "BACKOFF_MOST", 0.1)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.discovery.busy = 4
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        node.discovery.busy_responses = 4
         calls = [await node.discovery.calls.get() for _ in range(6)]
         assert all(call["index"] in ("0", "1") for call in calls)
-        assert node.discovery.busy == 0
-        assert await node.ask(command()) == SERVED
+        assert node.discovery.busy_responses == 0
+        assert await node.send_command(command()) == CLIENT_REPLY
 
 
 class Agent:
@@ -303,20 +314,20 @@
 @on_loop
 async def test_an_old_watch_tells_nothing_once_the_configuration_names_another(tmp_path):
     async with (
-        StubHost() as old,
-        StubHost() as new,
+        StubServer() as old,
+        StubServer() as new,
         StubDiscovery() as next_one,
-        Node(old, path=tmp_path) as node,
+        GatewayHarness(old, path=tmp_path) as node,
     ):
-        next_one.servers = [entry(new, "h2")]
+        next_one.servers = [server_entry(new, "h2")]
         while "index" not in await node.discovery.calls.get():
             pass
         file = tmp_path / "next.json"
-        file.write_text(json.dumps(told([], next_one.port, node.counter.port)))
-        node.node.reload(read_config({"RELAY_CONFIG": str(file)}, again=True))
+        file.write_text(json.dumps(gateway_config([], next_one.port, node.counter.port)))
+        node.service.reload(read_config({"RELAY_CONFIG": str(file)}, again=True))
         while "index" not in await next_one.calls.get():
             pass  # the new list was told, and its watch is open
-        node.discovery.changes.put_nowait([entry(old, "h1")])
+        node.discovery.changes.put_nowait([server_entry(old, "h1")])
         for _ in range(1000):  # turns, far more than an answer that is out takes to be told
             await asyncio.sleep(0)
         assert sendable(node) == {"h2"}
--- a/tests/test_net_hosts.py
+++ b/tests/test_net_hosts.py
@@ -9,7 +9,16 @@
 import time
 
 import pytest
-from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, terms, write
+from netkit import (
+    CLIENT_REPLY,
+    SERVER_REPLY,
+    GatewayHarness,
+    StubServer,
+    command,
+    command_fields,
+    on_loop,
+    write_command,
+)
 
 from calicomast import interface as api
 from calicomast.net import hosts
@@ -18,7 +27,7 @@
 
 @on_loop
 async def test_a_report_that_says_nothing_sound_is_ignored(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         for n, report in enumerate(
             (
                 b"$-1\r\n",
@@ -34,8 +43,8 @@
             )
         ):
             host.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
-            assert await node.ask(command(b"r%d" % n)) == b"$1\r\nv\r\n"
-        assert not node.node.module.fleet.reports
+            assert await node.send_command(command(b"r%d" % n)) == b"$1\r\nv\r\n"
+        assert not node.service.policy.fleet.reports
 
 
 @pytest.mark.parametrize(
@@ -61,18 +70,18 @@
 )
 @on_loop
 async def test_what_is_no_value_of_a_host_is_not_served(odd, tmp_path):
-    async with StubHost(odd) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(odd) as host, GatewayHarness(host, path=tmp_path) as node:
         began = time.process_time()
-        assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
+        assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
         assert time.process_time() - began < 0.5  # CPU is rationed; hiredis took over a second for some
-        host.answer = VALUE
-        assert await node.ask(command(b"r2")) == SERVED
+        host.answer = SERVER_REPLY
+        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
         assert len(host.writers) == 2  # a connection that brought such a thing is of no further use
 
 
 @on_loop
 async def test_a_probe_brings_the_load_report(tmp_path):
-    async with StubHost(b"$8\r\nactive=7\r\n") as host, Node(host, path=tmp_path) as node:
+    async with StubServer(b"$8\r\nactive=7\r\n") as host, GatewayHarness(host, path=tmp_path) as node:
         seen, done = [], asyncio.Event()
 
         class Watcher:
@@ -82,8 +91,8 @@
                     done.set()
                 return []
 
-        node.node.module = Watcher()
-        node.node.probe(api.Probe("h1"))
+        node.service.policy = Watcher()
+        node.service.probe(api.Probe("h1"))
         await done.wait()
         assert host.commands == [[b"INFO", b"load"]]
         assert seen[0].result == "ok" and seen[0].report == {"inflight": 7.0}
@@ -91,69 +100,77 @@
 
 @on_loop
 async def test_a_late_answer_reaches_nobody(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
-        assert (await node.ask(write(cls=b"note", d=300))).startswith(b"-ERR")
+    async with StubServer(answer=None) as host, GatewayHarness(host, path=tmp_path) as node:
+        assert (await node.send_command(write_command(cls=b"note", d=300))).startswith(b"-ERR")
         assert await host.arrived.get() and await host.arrived.get() is None  # the connection went too
         host.writers[0].write(b"*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n")
-        host.answer = VALUE
-        assert await node.ask(command(b"r2")) == SERVED
+        host.answer = SERVER_REPLY
+        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
 async def test_a_host_that_breaks_off_may_have_run_an_unsafe_request(tmp_path):
-    async with StubHost(b"") as one, StubHost(b"") as two, Node(one, two, path=tmp_path) as node:
-        assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
+    async with (
+        StubServer(b"") as one,
+        StubServer(b"") as two,
+        GatewayHarness(one, two, path=tmp_path) as node,
+    ):
+        assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
         assert len(one.commands) + len(two.commands) == 1
 
 
 @on_loop
 async def test_a_host_that_turns_away_never_ran_it(tmp_path):
-    turns = iter([b"-BUSY active=3\r\n", VALUE])
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    turns = iter([b"-BUSY active=3\r\n", SERVER_REPLY])
+    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
         one.answer = two.answer = lambda: next(turns)
-        assert await node.ask(write(cls=b"note")) == SERVED
+        assert await node.send_command(write_command(cls=b"note")) == CLIENT_REPLY
         assert [c[2] for c in one.commands + two.commands] == [b"r1", b"r1"]
 
 
 @on_loop
 async def test_a_refused_connection_never_ran_it(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         host.server.close()
         await host.server.wait_closed()
-        assert (await node.ask(write(cls=b"note"))).startswith(b"-BUSY")  # harmless to try again
+        # harmless to try again
+        assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-BUSY")
 
 
 @on_loop
 async def test_one_connection_is_used_again_and_closed_before_the_host_would(tmp_path, monkeypatch):
     monkeypatch.setattr(hosts, "REST", 0.0)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         for n in range(3):
-            assert await node.ask(command(b"r%d" % n)) == SERVED
+            assert await node.send_command(command(b"r%d" % n)) == CLIENT_REPLY
         assert len(host.writers) == 1
-        (conn,) = node.node.hosts.pool("h1").idle
-        node.node.hosts.close_stale()
-        assert node.node.hosts.pool("h1").idle == [conn]
+        (conn,) = node.service.server_connections.pool("h1").idle
+        node.service.server_connections.close_stale()
+        assert node.service.server_connections.pool("h1").idle == [conn]
         conn.idle_since -= 28.0  # of the 30 s after which the host would close it
-        node.node.hosts.close_stale()
-        assert node.node.hosts.pool("h1").idle == []
+        node.service.server_connections.close_stale()
+        assert node.service.server_connections.pool("h1").idle == []
         while await host.arrived.get() is not None:
             pass
 
 
 @on_loop
 async def test_the_cap_on_connections_holds(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
-        node.node.hosts.most = 2
-        node.node.module.fleet.limit = 100.0
-        asked = [asyncio.create_task(node.ask(command(b"r%d" % n, terms=terms(d="500")))) for n in range(6)]
+    async with StubServer(answer=None) as host, GatewayHarness(host, path=tmp_path) as node:
+        node.service.server_connections.most = 2
+        node.service.policy.fleet.limit = 100.0
+        asked = [
+            asyncio.create_task(node.send_command(command(b"r%d" % n, fields=command_fields(d="500"))))
+            for n in range(6)
+        ]
         await asyncio.gather(*asked)
-        assert len(host.writers) <= 2 * 3 and node.node.hosts.open <= 2
+        assert len(host.writers) <= 2 * 3 and node.service.server_connections.open <= 2
 
 
 @on_loop
 async def test_an_attempt_called_off_has_left_the_host_before_the_next_goes_out(tmp_path):
     """Where second copies are not allowed, one attempt's connection must end before the next is written."""
-    async with StubHost(None) as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with StubServer(None) as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
 
         class Mover:
             def handle(self, now, event):
@@ -161,30 +178,30 @@
                     return [api.Send(event.id, "h1")]
                 return [api.Send(event.id, "h2")] if getattr(event, "result", "") == "cancelled" else []
 
-        node.node.module = Mover()
-        asked = asyncio.create_task(node.ask(command()))
+        node.service.policy = Mover()
+        asked = asyncio.create_task(node.send_command(command()))
         await one.arrived.get()
-        (attempt,) = node.node.works["r1"].live.values()
+        (attempt,) = node.service.active_requests["r1"].live.values()
         ended = socket.socket(fileno=os.dup(attempt.conn.descriptor))
-        node.node.cancel(api.Cancel("r1", 0))
+        node.service.cancel(api.Cancel("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
             ended.send(b"x")
         ended.close()
         assert await one.arrived.get() is None
-        assert await asked == SERVED and len(two.commands) == 1
+        assert await asked == CLIENT_REPLY and len(two.commands) == 1
 
 
 @on_loop
 async def test_connects_called_off_before_they_began_take_no_room(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        hosts = node.node.hosts
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        hosts = node.service.server_connections
         hosts.most = 2
         for _ in range(5):
             attempt = Attempt("h1", lambda attempt: command(), lambda attempt: None)
             hosts.send(attempt, 3.0)
             hosts.give_up(attempt, "cancelled")
             assert attempt.result == "connect_failed"
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
         assert len(host.commands) == 1
 
 
@@ -192,9 +209,9 @@
 @on_loop
 async def test_what_comes_behind_an_answer_is_never_the_next_one(together, tmp_path):
     """A second copy may still wait in the socket when the next request is sent off."""
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
         for n in range(3):
-            asked = asyncio.create_task(node.ask(command(b"a%d" % n)))
+            asked = asyncio.create_task(node.send_command(command(b"a%d" % n)))
             while not (got := await host.arrived.get()):
                 pass
             own = b"*3\r\n$2\r\n%s\r\n$-1\r\n$-1\r\n" % got[2]
@@ -203,7 +220,7 @@
                 writer.write(own + own)
             else:  # two packets: the gateway reads the first alone
                 writer.write(own)
-                conns = [c for c in node.node.hosts.conns if c.attempt is not None]
+                conns = [c for c in node.service.server_connections.conns if c.attempt is not None]
                 while any(c.attempt is not None for c in conns):
                     await asyncio.sleep(0)
                 writer.write(own)
@@ -215,10 +232,10 @@
     """Nothing is to be read when the next request goes off, and on its connection it would come next."""
     now = time.monotonic()
     monkeypatch.setattr(hosts, "monotonic", lambda: now)
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
 
         async def ask(name):
-            asked = asyncio.create_task(node.ask(command(name)))
+            asked = asyncio.create_task(node.send_command(command(name)))
             while not await host.arrived.get():
                 pass
             return asked
@@ -236,9 +253,9 @@
 
 @on_loop
 async def test_a_connection_is_looked_at_before_it_is_used_again(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert await node.ask(command(b"a")) == SERVED
-        pool = node.node.hosts.pool("h1")
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        assert await node.send_command(command(b"a")) == CLIENT_REPLY
+        pool = node.service.server_connections.pool("h1")
         (conn,) = pool.idle
         conn.idle_since -= 1.0
         assert conn.quiet()
@@ -247,24 +264,24 @@
         await host.writers[0].drain()
         while conn.quiet():
             await asyncio.sleep(0)
-        assert await node.ask(command(b"b")) == SERVED
-        assert len(host.writers) == 2 and conn not in node.node.hosts.conns
+        assert await node.send_command(command(b"b")) == CLIENT_REPLY
+        assert len(host.writers) == 2 and conn not in node.service.server_connections.conns
 
 
 @on_loop
 async def test_an_answer_that_cannot_be_handled_ends_its_attempt(tmp_path, monkeypatch):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         with monkeypatch.context() as patch:
             patch.setattr("calicomast.net.hosts.read_reply", lambda *_: 1 / 0)
-            assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
-        assert not node.node.hosts.conns
-        assert await node.ask(command(b"r2")) == SERVED
+            assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
+        assert not node.service.server_connections.conns
+        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
 async def test_a_connection_that_is_dropped_does_not_close_a_descriptor_by_itself(tmp_path):
     """uvloop drops a transport whose connect is called off without a connection_lost."""
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         ours, theirs = socket.socketpair()
 
         class Transport(asyncio.Transport):
@@ -274,7 +291,7 @@
             def is_closing(self):
                 return False
 
-        conn = hosts.Connection(node.node.hosts.pool("h1"))
+        conn = hosts.Connection(node.service.server_connections.pool("h1"))
         conn.connection_made(Transport({"socket": ours}))
         assert conn.quiet()
         del conn
@@ -285,7 +302,7 @@
         theirs.close()
 
 
-class Forgetful(StubHost):
+class Forgetful(StubServer):
     """Behind something that drops connections at rest: the second request on one is reset while `dropped`."""
 
     def __init__(self):
@@ -299,7 +316,7 @@
                 writer.transport.abort()
                 return
             self.used.add(writer)
-            writer.write(VALUE)
+            writer.write(SERVER_REPLY)
 
     async def __aenter__(self):
         self.used = set()
@@ -308,19 +325,19 @@
 
 @on_loop
 async def test_connections_that_are_lost_after_a_rest_are_no_longer_used_after_it(tmp_path):
-    async with Forgetful() as host, Node(host, path=tmp_path) as node:
+    async with Forgetful() as host, GatewayHarness(host, path=tmp_path) as node:
 
         async def ask(n, rest):
             """A request once the host's connections have rested so long."""
-            for pool in node.node.hosts.pools.values():
+            for pool in node.service.server_connections.pools.values():
                 for conn in pool.idle:
                     conn.idle_since = time.monotonic() - rest
-            return await node.ask(command(b"r%d" % n))
+            return await node.send_command(command(b"r%d" % n))
 
         replies = [await ask(n, 1.0) for n in range(40)]
-        assert replies.count(SERVED) >= 34 and replies[-20:] == [SERVED] * 20
+        assert replies.count(CLIENT_REPLY) >= 34 and replies[-20:] == [CLIENT_REPLY] * 20
         host.dropped, made = False, host.made
-        assert [await ask(n, 0.05) for n in range(50, 60)] == [SERVED] * 10
+        assert [await ask(n, 0.05) for n in range(50, 60)] == [CLIENT_REPLY] * 10
         assert host.made <= made + 1  # those that rested for less are used on
 
 
@@ -385,13 +402,13 @@
 async def test_a_reset_between_the_look_and_the_write_never_ran(tmp_path, monkeypatch):
     monkeypatch.setattr(hosts, "REST", 0.0)
     raw, loop = RawHost(), asyncio.get_running_loop()
-    async with StubHost() as other, Node(raw, other, path=tmp_path) as node:
-        node.node.module = module = first("h1")
-        asked = asyncio.create_task(node.ask(command(b"a")))
+    async with StubServer() as other, GatewayHarness(raw, other, path=tmp_path) as node:
+        node.service.policy = module = first("h1")
+        asked = asyncio.create_task(node.send_command(command(b"a")))
         conn = await raw.accept()
         await loop.sock_recv(conn, 65536)
-        await loop.sock_sendall(conn, VALUE)
-        assert await asked == SERVED
+        await loop.sock_sendall(conn, SERVER_REPLY)
+        assert await asked == CLIENT_REPLY
         look = hosts.Connection.quiet
 
         def crossed(self):
@@ -400,12 +417,12 @@
             return quiet
 
         monkeypatch.setattr(hosts.Connection, "quiet", crossed)
-        assert await node.ask(write(cls=b"note")) == SERVED
+        assert await node.send_command(write_command(cls=b"note")) == CLIENT_REPLY
         assert module.results == ["connect_failed"] and len(other.commands) == 1
 
 
 @pytest.mark.parametrize(
-    "read, result, answer", [(False, "connect_failed", SERVED), (True, "reset", b"-ERR failed\r\n")]
+    "read, result, answer", [(False, "connect_failed", CLIENT_REPLY), (True, "reset", b"-ERR failed\r\n")]
 )
 @on_loop
 async def test_a_request_may_have_run_from_its_last_byte_on(read, result, answer, tmp_path, monkeypatch):
@@ -418,16 +435,20 @@
 
     monkeypatch.setattr(hosts.Connection, "connection_made", narrow)
     raw, loop = RawHost(receive=4096), asyncio.get_running_loop()
-    async with StubHost() as other, Node(raw, other, path=tmp_path) as node:
-        node.node.module = module = first("h1")
+    async with StubServer() as other, GatewayHarness(raw, other, path=tmp_path) as node:
+        node.service.policy = module = first("h1")
         terms = b"c=note,t=p,d=3000,units=1,spread=1,first=0"
-        asked = asyncio.create_task(node.ask(command(b"r1", terms, b"API.WRITE", body=b"x" * 60_000)))
+        asked = asyncio.create_task(
+            node.send_command(command(b"r1", terms, b"API.WRITE", body=b"x" * 60_000))
+        )
         conn, got = await raw.accept(), b""
-        while not node.node.hosts.conns or all(c.written for c in node.node.hosts.conns):
+        while not node.service.server_connections.conns or all(
+            c.written for c in node.service.server_connections.conns
+        ):
             await asyncio.sleep(0)  # until a part of it is out
         while read and not got.endswith(b"x" * 60 + b"\r\n"):
             got += await loop.sock_recv(conn, 65536)
-        while read and not all(c.written for c in node.node.hosts.conns):
+        while read and not all(c.written for c in node.service.server_connections.conns):
             await asyncio.sleep(0)
         raw.reset(conn)
         assert await asked == answer
--- a/tests/test_net_http.py
+++ b/tests/test_net_http.py
@@ -5,7 +5,7 @@
 import struct
 
 import pytest
-from netkit import Served, on_loop
+from netkit import StubListener, on_loop
 
 from calicomast.net.http import HttpConnection, StatusError
 
@@ -14,7 +14,7 @@
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n"
 
 
-class Script(Served):
+class Script(StubListener):
     """Answers the n-th request with the n-th of some texts and then does what stands behind it."""
 
     def __init__(self, *answers):
--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -4,7 +4,7 @@
 import logging
 
 import pytest
-from netkit import SERVED, Node, StubHost, command, entry, in_virtual_time, on_loop
+from netkit import CLIENT_REPLY, GatewayHarness, StubServer, command, in_virtual_time, on_loop, server_entry
 from test_net_discovery import Agent, sendable
 
 from calicomast.net import discovery, gateway, listing, server_table
@@ -250,34 +250,36 @@
 @on_loop
 async def test_a_bad_list_is_a_warning_and_the_last_good_one_stays(raw, tmp_path, caplog):
     caplog.set_level(logging.WARNING)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         await node.discovery.calls.get()
-        node.discovery.raw = raw
+        node.discovery.raw_response = raw
         node.discovery.changes.put_nowait([])
         while "index" in await node.discovery.calls.get():
             pass  # it asks for the whole list again
-        assert sendable(node) == {"h1"} and await node.ask(command()) == SERVED
+        assert sendable(node) == {"h1"} and await node.send_command(command()) == CLIENT_REPLY
     assert "the last list stays" in caplog.text
 
 
 @on_loop
 async def test_a_list_past_what_the_memory_allows_is_given_up_and_the_last_one_stays(tmp_path, monkeypatch):
-    monkeypatch.setattr(gateway, "LEAST_LIST", 4096)
-    monkeypatch.setattr(gateway, "OWN_MEMORY", 192 * 1024 * 1024)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert node.node.most_list == 4096
+    monkeypatch.setattr(gateway, "MIN_SERVER_LIST_BYTES", 4096)
+    monkeypatch.setattr(gateway, "BASE_MEMORY_BYTES", 192 * 1024 * 1024)
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        assert node.service.max_server_list_bytes == 4096
         await node.discovery.calls.get()
-        many = [entry(host, f"x{n}") for n in range(100)]
-        node.discovery.raw = json.dumps({"version": 5, "full": True, "servers": many})
+        many = [server_entry(host, f"x{n}") for n in range(100)]
+        node.discovery.raw_response = json.dumps({"version": 5, "full": True, "servers": many})
         node.discovery.changes.put_nowait([])
         while "index" in await node.discovery.calls.get():
             pass
-        assert sendable(node) == {"h1"} and await node.ask(command()) == SERVED
+        assert sendable(node) == {"h1"} and await node.send_command(command()) == CLIENT_REPLY
 
 
 def test_the_bound_on_a_list_comes_from_the_memory(tmp_path):
-    assert gateway.list_bound(192 * 1024 * 1024) > 4 * gateway.list_bound(72 * 1024 * 1024)
-    assert gateway.list_bound(16 * 1024 * 1024) == gateway.LEAST_LIST
+    assert gateway.max_server_list_bytes(192 * 1024 * 1024) > 4 * gateway.max_server_list_bytes(
+        72 * 1024 * 1024
+    )
+    assert gateway.max_server_list_bytes(16 * 1024 * 1024) == gateway.MIN_SERVER_LIST_BYTES
 
 
 @in_virtual_time
@@ -320,23 +322,23 @@
 
 @on_loop
 async def test_requests_are_answered_while_a_long_list_is_taken_over(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         await node.discovery.calls.get()
-        steps, take = [], node.node.take_list
+        steps, take = [], node.service.apply_server_list
 
         def counted(listed):
             for step in take(listed):
-                steps.append(len(node.node.servers.entries))
+                steps.append(len(node.service.server_table.entries))
                 yield step
 
-        node.node.discovery.told = counted
-        many = [entry(host, f"x{n}") for n in range(3000)] + [entry(host)]
+        node.service.discovery.told = counted
+        many = [server_entry(host, f"x{n}") for n in range(3000)] + [server_entry(host)]
         whole = json.dumps({"version": 5, "full": True, "servers": many})
-        node.discovery.raw = whole
+        node.discovery.raw_response = whole
         node.discovery.changes.put_nowait([])
         answered = 0
-        while len(node.node.servers.entries) < 3001:
-            assert await node.ask(command(b"r%d" % answered)) == SERVED
+        while len(node.service.server_table.entries) < 3001:
+            assert await node.send_command(command(b"r%d" % answered)) == CLIENT_REPLY
             answered += 1
         assert answered > 3 and len(steps) >= 3000 // SLICE - 1
         assert max(b - a for a, b in zip(steps, steps[1:], strict=False)) <= SLICE
@@ -349,15 +351,15 @@
 
 @on_loop
 async def test_a_list_is_not_gone_on_with_once_the_configuration_names_another_discovery(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         await node.discovery.calls.get()
-        many = [entry(host, f"x{n}") for n in range(3 * SLICE)]
+        many = [server_entry(host, f"x{n}") for n in range(3 * SLICE)]
         listed = read_list(json.dumps({"version": 5, "full": False, "servers": many}).encode())
-        slices = node.node.take_list(listed, node.node.sources)
+        slices = node.service.apply_server_list(listed, node.service.discovery_generation)
         next(slices)
-        held = len(node.node.servers.entries)
-        node.node.reload(node.node.config)
+        held = len(node.service.server_table.entries)
+        node.service.reload(node.service.config)
         with pytest.raises(ValueError, match="replaced"):
             next(slices)
-        assert len(node.node.servers.entries) == held < 3 * SLICE
-        assert node.node.log.counts[Kind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
+        assert len(node.service.server_table.entries) == held < 3 * SLICE
+        assert node.service.event_log.counts[Kind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
