--- a/calicomast/net/clock.py
+++ b/calicomast/net/clock.py
@@ -17,7 +17,7 @@
     def __call__(self) -> float:
         return self.zero + time.monotonic()
 
-    def started(self, told: float) -> float:
+    def local_start_time(self, told: float) -> float:
         """When a server started, on this clock; `told` is Unix time as it was just told.
 
         After a step of the wall clock that time may stand on the clock before it or on the one after it. Of
--- a/calicomast/net/config.py
+++ b/calicomast/net/config.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from calicomast import interface as api
-from calicomast.net.listing import Address, Listing, ListReader, read_address
+from calicomast.net.server_list import Address, ServerList, ServerListReader, parse_address
 from calicomast.settings import read_settings, seconds
 
 PIECE = 64 * 1024  # bytes of the file that are read at once
@@ -27,26 +27,26 @@
     seed: int
     memory: int  # bytes past which the process is killed
     sockets: int  # file descriptors that the process may hold
-    known: Listing  # the hosts as this gateway last had them; it may be old
+    known: ServerList  # the hosts as this gateway last had them; it may be old
     settings: api.Settings
     connect_timeout: float
     idle_close: float  # hosts close a connection that has stood idle for this long
     max_open: int  # requests in work at once
 
 
-def read_file(path: str, keep_known: bool) -> Generator[None, None, tuple[dict[str, Any], Listing]]:
+def read_file(path: str, keep_known: bool) -> Generator[None, None, tuple[dict[str, Any], ServerList]]:
     """What the file says, and the list of servers in it. It is read in pieces, as the list may be long, and
     gives way between them."""
-    reader = ListReader(("known", "servers"), "cached", keep=keep_known)
+    reader = ServerListReader(("known", "servers"), "cached", keep_entries=keep_known)
     with open(path, "rb") as file:
         while piece := file.read(PIECE):
             yield from reader.feed(piece)
             yield
-    yield from reader.feed(b"", last=True)
-    told = reader.reader.members[0]
+    yield from reader.feed(b"", final=True)
+    told = reader.json_reader.members[0]
     if "settings" not in told:
         raise KeyError("settings")
-    return told, reader.listing()
+    return told, reader.server_list()
 
 
 def read_config(env: Mapping[str, str] = os.environ, again: bool = False) -> Config:
@@ -80,9 +80,9 @@
             raise ValueError("the settings allow a counter but no address is given")
         return Config(
             name=env.get("RELAY_NAME") or told["name"],
-            listen=read_address(env.get("RELAY_LISTEN") or told["listen"]),
-            discovery=read_address((not again and env.get("RELAY_DISCOVERY")) or told["discovery"]),
-            counter=read_address(counter) if counter else None,
+            listen=parse_address(env.get("RELAY_LISTEN") or told["listen"]),
+            discovery=parse_address((not again and env.get("RELAY_DISCOVERY")) or told["discovery"]),
+            counter=parse_address(counter) if counter else None,
             seed=int(told["seed"], 16),
             memory=int(told["limits"]["memory_mb"]) * 1024 * 1024,
             sockets=int(told["limits"]["sockets"]),
--- a/calicomast/net/counter.py
+++ b/calicomast/net/counter.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from time import monotonic
 
-from calicomast.net.listing import Address
+from calicomast.net.server_list import Address
 
 LINES = 4  # connections, so that a part that is slow does not hold up the names of the others
 KEEP_ALIVE = 2.0  # s without a call after which a `ping`, which costs nothing, keeps a connection open
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -20,12 +20,12 @@
 from calicomast.net.clock import Clock
 from calicomast.net.config import Config
 from calicomast.net.counter import Counter
-from calicomast.net.discovery import Discovery
+from calicomast.net.discovery import DiscoveryClient
 from calicomast.net.events import EventLog, Kind
 from calicomast.net.hosts import Attempt, Hosts
 from calicomast.net.lifecycle import ProcessState, RequestState, change
-from calicomast.net.listing import Listing
 from calicomast.net.requests import BadRequest, Work, bulk, check_form, read_request
+from calicomast.net.server_list import ServerList
 from calicomast.net.server_table import ServerTable
 from calicomast.policy import Gateway
 from calicomast.rules import (
@@ -76,10 +76,12 @@
         # Bodies in work and half commands are bounded: past the limit of memory the program is killed.
         self.most_held = max(LEAST_HELD, (config.memory - OWN_MEMORY) // 4)
         self.clients = ClientServer(self, room // 2, self.most_held, self.log)
-        self.servers = ServerTable(self.feed, lambda server: self.hosts.stop(server), self.clock.started)
-        self.hosts = Hosts(config.connect_timeout, config.idle_close, room // 2, self.servers.address)
+        self.servers = ServerTable(
+            self.feed, lambda server: self.hosts.stop(server), self.clock.local_start_time
+        )
+        self.hosts = Hosts(config.connect_timeout, config.idle_close, room // 2, self.servers.address_of)
         self.control = AttemptControl(
-            config.settings, self.clock, self.servers.listed, self.admits_late, self.log
+            config.settings, self.clock, self.servers.is_available, self.admits_late, self.log
         )
         self.counter = Counter(config.counter, self.settings.counter_timeout) if config.counter else None
         self.most_list = list_bound(config.memory)
@@ -126,25 +128,25 @@
             self.counter.move(config.counter)
         replaced = self.discovery
         self.discovery = self.new_discovery(config, replaced.version, held=False)
-        if replaced.watching:  # the watch begins with the whole list: another service has versions of its own
+        if replaced.watch_task:  # the watch begins with the whole list: another service has its own versions
             self.discovery.watch(True)
         ending = self.loop.create_task(replaced.close())
         self.endings.add(ending)
         ending.add_done_callback(self.endings.discard)
         log.info("new configuration: discovery %s:%d", *config.discovery)
 
-    def new_discovery(self, config: Config, version: int, held: bool) -> Discovery:
+    def new_discovery(self, config: Config, version: int, held: bool) -> DiscoveryClient:
         self.sources += 1
         source = self.sources
-        return Discovery(
+        return DiscoveryClient(
             config.discovery,
             version,
             lambda listing: self.take_list(listing, source),
             self.list_failed,
-            held=held,
-            grace=self.settings.rules.drain_grace,
-            most=self.most_list,
-            entries=self.servers.entries,
+            has_list=held,
+            drain_grace=self.settings.rules.drain_grace,
+            max_body_bytes=self.most_list,
+            known_entries=self.servers.entries,
         )
 
     @property
@@ -198,22 +200,22 @@
             self.hosts.give_up(attempt, "cancelled")
         self.feed(api.Gone(work.id))
 
-    def take_list(self, listing: Listing, source: int = 0) -> Iterator[None]:
+    def take_list(self, listing: ServerList, source: int = 0) -> Iterator[None]:
         """Takes a list of servers over in slices; raises ValueError if it may not be put in force. `source`:
         the number of the discovery that told it; 0 for the configuration."""
         self.check_list(listing, source)
         long = len(listing.entries) > LONG_LIST
-        for _ in self.servers.take(listing):
+        for _ in self.servers.apply(listing):
             yield
             self.check_list(listing, source)  # the configuration may have named another meanwhile
-        self.ready = self.ready or self.servers.any_to_send_to()
+        self.ready = self.ready or self.servers.any_available()
         if long:
             gc.freeze()  # most of it stays for good: no collection need look at it again
 
-    def check_list(self, listing: Listing, source: int) -> None:
+    def check_list(self, listing: ServerList, source: int) -> None:
         """Raises ValueError if a list may not be put in force, or not be gone on with."""
         try:
-            self.servers.check(listing, source_current=source in (0, self.sources))
+            self.servers.validate(listing, source_current=source in (0, self.sources))
         except ValueError as err:
             self.log.tell(Kind.LIST_NOT_APPLIED, str(err), version=listing.version)
             raise
--- a/calicomast/net/hosts.py
+++ b/calicomast/net/hosts.py
@@ -21,8 +21,8 @@
 
 from calicomast.net.framing import MOST_BODY, NO_MESSAGE, Framing, FramingError
 from calicomast.net.lifecycle import AttemptState, ServerState, change
-from calicomast.net.listing import Address
 from calicomast.net.own_trouble import is_own_trouble
+from calicomast.net.server_list import Address
 from calicomast.settings import read_report
 
 REST = 0.02  # s after an answer in which what comes behind it can still show itself: some milliseconds late
--- a/calicomast/net/json_stream.py
+++ b/calicomast/net/json_stream.py
@@ -39,11 +39,11 @@
         self._characters = codecs.getincrementaldecoder("utf-8")()
         self._parser = self._whole()
 
-    def feed(self, data: bytes, last: bool = False) -> Iterator[Any]:
-        """The items that this piece makes whole. `last`: nothing comes behind it. Raises ValueError where the
-        text is no such object, or ends early."""
-        self._text = self._text[self._at :] + self._characters.decode(data, last)
-        self._at, self._last = 0, last
+    def feed(self, data: bytes, final: bool = False) -> Iterator[Any]:
+        """The items that this piece makes whole. `final`: nothing comes behind it. Raises ValueError where
+        the text is no such object, or ends early."""
+        self._text = self._text[self._at :] + self._characters.decode(data, final)
+        self._at, self._last = 0, final
         for item in self._parser:
             if item is _MORE:
                 return
--- a/calicomast/net/listing.py
+++ b/calicomast/net/server_list.py
@@ -19,14 +19,14 @@
 MOST_REPEATED = 16_384  # values that are looked for; past that each new one is kept by itself
 PORT = r"([0-9]{1,4}|[1-5][0-9]{4}|6[0-4][0-9]{3}|65[0-4][0-9]{2}|655[0-2][0-9]|6553[0-5])"
 ADDRESS = re.compile(r"\S+:" + PORT)
-PIECE = 16 * 1024  # bytes that are read before others are let run; about a millisecond's work
+CHUNK_BYTES = 16 * 1024  # bytes that are read before others are let run; about a millisecond's work
 
 Address = tuple[str, int]
 
 log = logging.getLogger(__name__)
 
 
-def read_address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """HOST:PORT as a pair; raises ValueError for anything else."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isdecimal() and int(port) < 65536):
@@ -34,20 +34,20 @@
     return host.strip("[]"), int(port)
 
 
-class Entry(NamedTuple):
+class ServerEntry(NamedTuple):
     """A server as it was listed, and HOST:PORT where it listens; empty where that was not told."""
 
-    host: api.Host
+    server: api.Host
     address: str
 
 
 @dataclass(slots=True)
-class Listing:
+class ServerList:
     """A list or changes to one."""
 
     mode: str  # one of interface.MODES
     version: int
-    entries: list[Entry]
+    entries: list[ServerEntry]
     taken: bool = False  # whether the entries were handed over
 
     @property
@@ -55,7 +55,7 @@
         """Whether it came without entries."""
         return not self.entries and not self.taken
 
-    def hand_over(self) -> list[Entry]:
+    def hand_over(self) -> list[ServerEntry]:
         """The entries, which are not kept here any longer."""
         entries, self.entries, self.taken = self.entries, [], True
         return entries
@@ -80,7 +80,7 @@
     def __init__(self) -> None:
         self.texts, self.cells, self.weights = Repeated(), Repeated(), Repeated()
 
-    def read(self, told: dict[str, Any]) -> Entry:
+    def read(self, told: dict[str, Any]) -> ServerEntry:
         """One entry as JSON has it; raises KeyError, TypeError, ValueError, AttributeError or OverflowError
         if it is none."""
         name, state, address = told["id"], STATE[told["state"]], told.get("addr") or ""
@@ -97,10 +97,10 @@
             raise ValueError("addr is not HOST:PORT")
         zone, kind = self.texts(str(told.get("zone", ""))), self.texts(str(told.get("kind", "")))
         host = api.Host(name, zone, self.cells(cell), self.weights(weight), kind, state, started)
-        return Entry(host, address)
+        return ServerEntry(host, address)
 
 
-class ListReader:
+class ServerListReader:
     """Reads one list. An entry that cannot be read is left out; the others, drains among them, are heard all
     the same. Where an id is named twice, what is said last counts.
 
@@ -108,28 +108,33 @@
         path: of the entries in the text, see JsonArrayReader.
         mode: of the list, if the text does not decide it.
         held: entries that are held now: one that says the same is not kept twice.
-        keep: whether entries are wanted at all.
+        keep_entries: whether entries are wanted at all.
     """
 
     def __init__(
         self,
         path: tuple[str, ...] = ("servers",),
         mode: str | None = None,
-        held: dict[str, Entry] | None = None,
-        keep: bool = True,
+        held: dict[str, ServerEntry] | None = None,
+        keep_entries: bool = True,
     ) -> None:
-        self.reader, self.mode, self.held, self.keep = JsonArrayReader(path), mode, held or {}, keep
-        self.entries: dict[str, Entry] = {}
+        self.json_reader, self.mode, self.held, self.keep_entries = (
+            JsonArrayReader(path),
+            mode,
+            held or {},
+            keep_entries,
+        )
+        self.entries: dict[str, ServerEntry] = {}
         self.entry_reader = EntryReader()
         self.unreadable = self.repeated = 0
 
-    def feed(self, data: bytes, last: bool = False) -> Iterator[None]:
-        """Reads a piece, and gives way within it after each PIECE bytes. Raises ValueError if the text is no
-        list."""
-        for start in range(0, max(1, len(data)), PIECE):
-            end = start + PIECE
-            for item in self.reader.feed(data[start:end], last and end >= len(data)):
-                if self.keep:
+    def feed(self, data: bytes, final: bool = False) -> Iterator[None]:
+        """Reads a piece, and gives way within it after each CHUNK_BYTES bytes. Raises ValueError if the text
+        is no list."""
+        for start in range(0, max(1, len(data)), CHUNK_BYTES):
+            end = start + CHUNK_BYTES
+            for item in self.json_reader.feed(data[start:end], final and end >= len(data)):
+                if self.keep_entries:
                     self._take(item)
             if end < len(data):
                 yield
@@ -140,32 +145,32 @@
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError):
             self.unreadable += 1
             return
-        name = entry.host.id
+        name = entry.server.id
         self.repeated += name in self.entries
         held = self.held.get(name)
         self.entries[name] = held if held == entry else entry
 
-    def listing(self) -> Listing:
+    def server_list(self) -> ServerList:
         """The list, once its text has ended; raises ValueError if it was none."""
-        members = self.reader.members[-1]
+        members = self.json_reader.members[-1]
         try:
             mode = self.mode or ("full" if members["full"] else "delta")
             version = int(members["version"])
         except (KeyError, TypeError, ValueError, OverflowError) as err:
             raise ValueError(f"not a list of hosts: {type(err).__name__} {err}") from err
-        if not self.reader.found or not 0 <= version < MOST_VERSION:
+        if not self.json_reader.found or not 0 <= version < MOST_VERSION:
             raise ValueError("not a list of hosts: no servers, or a version out of range")
         if self.unreadable and not self.entries:
             raise ValueError("not a list of hosts: no entry can be read")
         if self.unreadable or self.repeated:
             log.warning("a list: %d entries unreadable, %d ids twice", self.unreadable, self.repeated)
         entries, self.entries = list(self.entries.values()), {}
-        return Listing(mode, version, entries)
+        return ServerList(mode, version, entries)
 
 
-def read_list(text: bytes, mode: str | None = None) -> Listing:
+def parse_server_list(text: bytes, mode: str | None = None) -> ServerList:
     """Reads a whole list at once; raises ValueError if `text` is none."""
-    reader = ListReader(mode=mode)
-    for _ in reader.feed(text, last=True):
+    reader = ServerListReader(mode=mode)
+    for _ in reader.feed(text, final=True):
         pass
-    return reader.listing()
+    return reader.server_list()
--- a/calicomast/net/server_table.py
+++ b/calicomast/net/server_table.py
@@ -12,7 +12,7 @@
 
 from calicomast import interface as api
 from calicomast.net.clock import LONG_AGO
-from calicomast.net.listing import Address, Entry, Listing, read_address
+from calicomast.net.server_list import Address, ServerEntry, ServerList, parse_address
 from calicomast.rules import Verdict, may_apply_list
 
 SLICE = 100  # servers that are passed on at once; about a millisecond's work
@@ -36,28 +36,28 @@
         stop: Callable[[str], None],
         started: Callable[[float], float] = lambda told: told,
     ) -> None:
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, ServerEntry] = {}
         self._started = started
         self._starts: dict[str, tuple[float, float]] = {}  # of servers that told one: as told, on our clock
         self._feed, self._stop = feed, stop
 
-    def address(self, server: str) -> Address | None:
+    def address_of(self, server: str) -> Address | None:
         """Where a server listens; None where it is not to be sent to."""
         entry = self.entries.get(server)
-        if entry is None or not entry.address or entry.host.state != "up":
+        if entry is None or not entry.address or entry.server.state != "up":
             return None
-        return read_address(entry.address)
+        return parse_address(entry.address)
 
-    def listed(self, server: str) -> bool:
+    def is_available(self, server: str) -> bool:
         """Whether a server is one that requests may be sent to."""
         entry = self.entries.get(server)
-        return entry is not None and entry.host.state == "up" and bool(entry.address)
+        return entry is not None and entry.server.state == "up" and bool(entry.address)
 
-    def any_to_send_to(self) -> bool:
+    def any_available(self) -> bool:
         """Whether there is a server that requests may be sent to."""
-        return any(entry.address and entry.host.state == "up" for entry in self.entries.values())
+        return any(entry.address and entry.server.state == "up" for entry in self.entries.values())
 
-    def check(self, listing: Listing, source_current: bool = True) -> None:
+    def validate(self, listing: ServerList, source_current: bool = True) -> None:
         """Raises ValueError for a list that may not be put in force. `source_current`: whether who told it is
         still the one to listen to."""
         verdict = may_apply_list(
@@ -69,31 +69,31 @@
         if verdict is not Verdict.ALLOWED:
             raise ValueError(verdict.value)
 
-    def take(self, listing: Listing) -> Iterator[None]:
+    def apply(self, listing: ServerList) -> Iterator[None]:
         """Takes a list over, slice by slice; gives way between slices."""
         changed = yield from self._changed(listing)
         mode, first = listing.mode, True
         # What stops comes first: sends to it have to end soon. They are taken from the end.
         changed.reverse()
-        changed.sort(key=lambda entry: entry.host.state == "up", reverse=True)
+        changed.sort(key=lambda entry: entry.server.state == "up", reverse=True)
         while changed or first:
             part = [changed.pop() for _ in range(min(SLICE, len(changed)))]
-            self._pass_on(part, "cached" if mode == "cached" and first else "delta", listing.version)
+            self._apply_batch(part, "cached" if mode == "cached" and first else "delta", listing.version)
             first = False
             if changed:
                 yield
 
-    def _changed(self, listing: Listing) -> Generator[None, None, list[Entry]]:
+    def _changed(self, listing: ServerList) -> Generator[None, None, list[ServerEntry]]:
         """Entries of the list that say something new, and those that a whole list leaves out as gone."""
         entries = listing.hand_over()
         changed, unknown = [], 0
         for number, entry in enumerate(entries):
             if number and number % COMPARED == 0:
                 yield
-            held = self.entries.get(entry.host.id)
+            held = self.entries.get(entry.server.id)
             if held == entry:
                 continue
-            unknown += held is None and entry.host.state != "up"
+            unknown += held is None and entry.server.state != "up"
             changed.append(entry)
         if listing.mode != "delta":
             changed += yield from self._left_out(entries)
@@ -101,28 +101,30 @@
             log.warning("changes: %d servers that were never listed drain or are gone", unknown)
         return changed
 
-    def _left_out(self, entries: list[Entry]) -> Generator[None, None, list[Entry]]:
+    def _left_out(self, entries: list[ServerEntry]) -> Generator[None, None, list[ServerEntry]]:
         """Those held that a whole list does not name."""
         if not self.entries:
             return []
-        named = {entry.host.id for entry in entries}
+        named = {entry.server.id for entry in entries}
         gone = []
         for number, (name, entry) in enumerate(list(self.entries.items())):
             if number and number % COMPARED == 0:
                 yield
             if name not in named:
-                gone.append(Entry(dataclasses.replace(entry.host, state="down"), ""))
+                gone.append(ServerEntry(dataclasses.replace(entry.server, state="down"), ""))
         return gone
 
-    def _pass_on(self, entries: list[Entry], mode: str, version: int) -> None:
+    def _apply_batch(self, entries: list[ServerEntry], mode: str, version: int) -> None:
         """The module hears of it between new servers and those that go: what ends with a server that goes is
         then not sent there once more."""
         for entry in entries:
-            if entry.host.state == "up":
+            if entry.server.state == "up":
                 self._hold(entry)
-        self._feed(api.HostList(mode, version, tuple([self._on_our_clock(entry.host) for entry in entries])))
+        self._feed(
+            api.HostList(mode, version, tuple([self._on_our_clock(entry.server) for entry in entries]))
+        )
         for entry in entries:
-            if entry.host.state != "up":
+            if entry.server.state != "up":
                 self._leave(entry)
 
     def _on_our_clock(self, host: api.Host) -> api.Host:
@@ -137,17 +139,17 @@
             del self._starts[host.id]
         return dataclasses.replace(host, started=started)
 
-    def _hold(self, entry: Entry) -> None:
-        held = self.entries.get(entry.host.id)
+    def _hold(self, entry: ServerEntry) -> None:
+        held = self.entries.get(entry.server.id)
         if held is not None and not entry.address:  # it is where it was
-            entry = Entry(entry.host, held.address)
+            entry = ServerEntry(entry.server, held.address)
         elif held is not None and held.address != entry.address:
-            self._stop(entry.host.id)
-        self.entries[entry.host.id] = entry
+            self._stop(entry.server.id)
+        self.entries[entry.server.id] = entry
 
-    def _leave(self, entry: Entry) -> None:
-        if entry.host.state == "down":
-            self.entries.pop(entry.host.id, None)
+    def _leave(self, entry: ServerEntry) -> None:
+        if entry.server.state == "down":
+            self.entries.pop(entry.server.id, None)
         else:
-            self.entries[entry.host.id] = entry
-        self._stop(entry.host.id)
+            self.entries[entry.server.id] = entry
+        self._stop(entry.server.id)
--- a/emulator/scenarios/membership.py
+++ b/emulator/scenarios/membership.py
@@ -5,7 +5,7 @@
 import json
 
 from calicomast import interface as api
-from calicomast.net.listing import Listing, read_list
+from calicomast.net.server_list import ServerList, parse_server_list
 from calicomast.net.server_table import ServerTable
 from calicomast.policy import Gateway
 from emulator.deployment import GATEWAYS_AT_TARGET, SERVERS_AT_TARGET, Deployment
@@ -34,9 +34,9 @@
         self.gateway = Gateway(deployment.settings(0), seed, 1000.0)
         self.table = ServerTable(lambda event: self.gateway.handle(1000.0, event), lambda server: None)
 
-    def take(self, listing: Listing) -> None:
+    def take(self, listing: ServerList) -> None:
         """Takes a list over, and looks for a server once, which is when the lists of them are made."""
-        for _ in self.table.take(listing):
+        for _ in self.table.apply(listing):
             pass
         self.gateway.fleet.refresh()
 
@@ -44,7 +44,7 @@
 def measure(deployment: Deployment, seed: int) -> Row:
     """One size."""
     text = body(deployment)
-    listing, reading = cpu_seconds(lambda: read_list(text))
+    listing, reading = cpu_seconds(lambda: parse_server_list(text))
     taker = Taker(deployment, seed)
     _, taking = cpu_seconds(lambda: taker.take(listing))
     step = max(1, deployment.servers // CHANGES)
@@ -65,7 +65,7 @@
 
     def hold() -> Taker:
         held = Taker(deployment, seed)
-        held.take(read_list(text))
+        held.take(parse_server_list(text))
         return held
 
     _, kept, peak = memory_megabytes(hold)
--- a/emulator/scenarios/storm.py
+++ b/emulator/scenarios/storm.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from calicomast.net import discovery
-from calicomast.net.listing import Listing
+from calicomast.net.server_list import ServerList
 from emulator.deployment import Deployment
 from emulator.discovery_model import DiscoveryModel
 from emulator.scenarios.base import Options, Row, Scenario, ladder
@@ -22,11 +22,11 @@
 CHANGES = 20  # of the list in that time
 
 
-class EmulatedDiscovery(discovery.Discovery):
+class EmulatedDiscovery(discovery.DiscoveryClient):
     """The gateway's own discovery client, with the emulated service in place of a connection."""
 
     def __init__(self, service: DiscoveryModel, held_version: int) -> None:
-        super().__init__(("127.0.0.1", 1), held_version, self.note, lambda: None, held=held_version > 0)
+        super().__init__(("127.0.0.1", 1), held_version, self.note, lambda: None, has_list=held_version > 0)
         self.service, self.began_at = service, 0.0
         self.heard_after: float | None = None  # seconds until the first answer
 
@@ -35,12 +35,12 @@
         self.began_at = asyncio.get_running_loop().time()
         self.watch(True)
 
-    def note(self, listing: Listing) -> None:
+    def note(self, listing: ServerList) -> None:
         """Remembers when the first answer came."""
         if self.heard_after is None:
             self.heard_after = asyncio.get_running_loop().time() - self.began_at
 
-    async def pieces(self, target: str) -> AsyncIterator[bytes]:
+    async def read_body(self, target: str) -> AsyncIterator[bytes]:
         """The service's answer."""
         yield await self.service.get(target)
 
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -117,19 +117,19 @@
 
 def drained_servers_rest() -> None:
     """Drains and removals are not heard."""
-    take = server_table.ServerTable.take
+    take = server_table.ServerTable.apply
 
     def deaf(self: server_table.ServerTable, listing: Any) -> Any:
-        listing.entries = [entry for entry in listing.entries if entry.host.state == "up"]
+        listing.entries = [entry for entry in listing.entries if entry.server.state == "up"]
         listing.mode = "delta"
         return take(self, listing)
 
-    server_table.ServerTable.take = deaf  # type: ignore[method-assign]
+    server_table.ServerTable.apply = deaf  # type: ignore[method-assign]
 
 
 def changes_are_heard() -> None:
     """Discovery is never asked."""
-    discovery.Discovery.watch = lambda self, on: None  # type: ignore[method-assign]
+    discovery.DiscoveryClient.watch = lambda self, on: None  # type: ignore[method-assign]
 
 
 def cold_servers_stand() -> None:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -6,7 +6,7 @@
 
 from calicomast.net import clock
 from calicomast.net.clock import Clock
-from calicomast.net.listing import read_list
+from calicomast.net.server_list import parse_server_list
 from calicomast.net.server_table import ServerTable
 
 NOW, AGE = 1_700_000_000.0, 3.0
@@ -46,25 +46,25 @@
     ticking = Clock()
     times.step = step
     told = NOW + times.passed + (step if everywhere else 0.0) - AGE
-    age = ticking() - ticking.started(told)
+    age = ticking() - ticking.local_start_time(told)
     assert 0.0 <= age <= AGE + 1e-6
 
 
 def test_a_server_of_long_ago_stays_one(times):
-    assert Clock().started(0.0) == 0.0
+    assert Clock().local_start_time(0.0) == 0.0
 
 
 def test_a_start_is_put_on_our_clock_once(times):
     """A change of its state after a step must not look like another start."""
     ticking, seen = Clock(), []
-    table = ServerTable(seen.append, lambda server: None, ticking.started)
+    table = ServerTable(seen.append, lambda server: None, ticking.local_start_time)
     started = int(1000 * (NOW + times.passed - AGE))
     text = (
         '{"version":%d,"full":false,"servers":[{"id":"h1","addr":"127.0.0.1:%d","zone":"a","kind":"k",'
         '"cell":0,"state":"up","weight":1.0,"started_ms":%d}]}'
     )
     for version, port in ((2, 7001), (3, 7002)):
-        for _ in table.take(read_list((text % (version, port, started)).encode())):
+        for _ in table.apply(parse_server_list((text % (version, port, started)).encode())):
             pass
         times.step += 3600.0
     first, second = (event.hosts[0].started for event in seen)
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -11,12 +11,12 @@
 from calicomast.net import discovery
 from calicomast.net.config import read_config
 from calicomast.net.http import StatusError
-from calicomast.net.listing import read_list
+from calicomast.net.server_list import parse_server_list
 
 
 def sendable(node):
     """The servers that requests may be sent to."""
-    return {name for name in node.node.servers.entries if node.node.servers.address(name)}
+    return {name for name in node.node.servers.entries if node.node.servers.address_of(name)}
 
 
 @on_loop
@@ -121,7 +121,7 @@
             await asyncio.sleep(0)
         seen.clear()
         drains = {"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}
-        assert list(node.node.take_list(read_list(json.dumps(drains).encode()))) == []  # in one step
+        assert list(node.node.take_list(parse_server_list(json.dumps(drains).encode()))) == []  # in one step
         await done.wait()
         assert seen == [api.HostList, api.Outcome, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
@@ -163,13 +163,13 @@
         monkeypatch.setattr(discovery.random, "random", lambda: 1.0)  # the longest pauses
         self.behave, self.loop, self.calls, self.most = behave, asyncio.get_running_loop(), [], 0
         self.lists, self.heard = [(0.0, 7)], []  # from when which version; when which was told
-        self.watch = discovery.Discovery(("127.0.0.1", 1), 7, self.told, lambda: None, held, grace)
-        monkeypatch.setattr(self.watch, "pieces", self.pieces)
+        self.watch = discovery.DiscoveryClient(("127.0.0.1", 1), 7, self.told, lambda: None, held, grace)
+        monkeypatch.setattr(self.watch, "read_body", self.read_body)
 
     def told(self, listing):
         self.heard.append((self.loop.time(), listing.version))
 
-    async def pieces(self, target):
+    async def read_body(self, target):
         yield (await self.body(target)).encode()
 
     async def body(self, target):
@@ -295,7 +295,7 @@
             raise asyncio.CancelledError  # not for ever
         yield b'{"version": 7, "full": false, "servers": []}'
 
-    monkeypatch.setattr(agent.watch, "pieces", at_once)
+    monkeypatch.setattr(agent.watch, "read_body", at_once)
     await agent.play(2.0)
     assert 5 < len(agent.calls) <= 21
 
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -16,8 +16,8 @@
 from netkit import SERVED, StubCounter, StubDiscovery, StubHost, command, entry, on_loop, read_reply, told
 
 from calicomast.net.counter import LINES
-from calicomast.net.listing import PIECE
 from calicomast.net.program import STEPS_AT_ONCE, Reloader
+from calicomast.net.server_list import CHUNK_BYTES
 
 ROOT = Path(__file__).resolve().parent.parent
 PING = b"*1\r\n$4\r\nPING\r\n"
@@ -266,7 +266,7 @@
         while not taken:
             turns += 1
             await asyncio.sleep(0)
-        assert turns > len(config.read_bytes()) // (STEPS_AT_ONCE * PIECE) - 1 > 3
+        assert turns > len(config.read_bytes()) // (STEPS_AT_ONCE * CHUNK_BYTES) - 1 > 3
         assert not taken[0].known.entries and taken[0].name == "n0"
         reloader.reload()
         config.write_text(json.dumps(told(listed[:1], 7, 8)))
--- a/tests/test_net_listing.py
+++ b/tests/test_net_server_list.py
@@ -7,10 +7,10 @@
 from netkit import SERVED, Node, StubHost, command, entry, in_virtual_time, on_loop
 from test_net_discovery import Agent, sendable
 
-from calicomast.net import discovery, gateway, listing, server_table
+from calicomast.net import discovery, gateway, server_list, server_table
 from calicomast.net.events import Kind
 from calicomast.net.json_stream import LONGEST_VALUE, JsonArrayReader
-from calicomast.net.listing import PIECE, ListReader, read_list
+from calicomast.net.server_list import CHUNK_BYTES, ServerListReader, parse_server_list
 from calicomast.net.server_table import COMPARED, SLICE, ServerTable
 
 
@@ -31,7 +31,7 @@
     found = []
     for start in range(0, len(data), size):
         found += reader.feed(data[start : start + size])
-    found += reader.feed(b"", last=True)
+    found += reader.feed(b"", final=True)
     return found, reader.members
 
 
@@ -58,10 +58,10 @@
 
 def test_a_text_cut_short_at_any_place_is_no_list():
     whole = text(SERVERS[:2])
-    assert read_list(whole).version == 3
+    assert parse_server_list(whole).version == 3
     for end in range(len(whole)):
         with pytest.raises(ValueError):
-            read_list(whole[:end])
+            parse_server_list(whole[:end])
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
 )
 def test_what_is_no_list_is_a_value_error(bad):
     with pytest.raises(ValueError):
-        read_list(bad)
+        parse_server_list(bad)
 
 
 def test_a_value_without_end_is_given_up_before_it_fills_the_memory():
@@ -97,9 +97,9 @@
     fed = 0
     with pytest.raises(ValueError, match="without end"):
         while True:
-            fed += PIECE
-            list(reader.feed(b"x" * PIECE))
-    assert fed <= LONGEST_VALUE + 2 * PIECE
+            fed += CHUNK_BYTES
+            list(reader.feed(b"x" * CHUNK_BYTES))
+    assert fed <= LONGEST_VALUE + 2 * CHUNK_BYTES
 
 
 ODD = [
@@ -121,33 +121,33 @@
 
 
 def test_entries_that_cannot_be_read_harm_no_other_and_are_a_warning(caplog):
-    listed = read_list(text([told("h1"), *ODD, told("h2", "draining")]))
-    assert [(e.host.id, e.host.state) for e in listed.entries] == [("h1", "up"), ("h2", "leaving")]
+    listed = parse_server_list(text([told("h1"), *ODD, told("h2", "draining")]))
+    assert [(e.server.id, e.server.state) for e in listed.entries] == [("h1", "up"), ("h2", "leaving")]
     assert f"{len(ODD)} entries unreadable" in caplog.text and len(caplog.records) == 1
 
 
 def test_of_an_id_that_is_named_twice_the_last_counts_and_a_warning_says_so(caplog):
-    listed = read_list(text([told("h1"), told("h2"), told("h1", "draining")]))
-    assert [(e.host.id, e.host.state) for e in listed.entries] == [("h1", "leaving"), ("h2", "up")]
+    listed = parse_server_list(text([told("h1"), told("h2"), told("h1", "draining")]))
+    assert [(e.server.id, e.server.state) for e in listed.entries] == [("h1", "leaving"), ("h2", "up")]
     assert "1 ids twice" in caplog.text
 
 
 def test_reading_gives_way_after_each_piece():
     data = text([told(f"h{n}") for n in range(2000)])
-    reader, steps, before = ListReader(), 0, 0
+    reader, steps, before = ServerListReader(), 0, 0
     for _ in reader.feed(data):
         steps += 1
-        assert len(reader.entries) - before < 2 * PIECE / len(text([told("h1000")])) * 3
+        assert len(reader.entries) - before < 2 * CHUNK_BYTES / len(text([told("h1000")])) * 3
         before = len(reader.entries)
-    assert steps == len(data) // PIECE
+    assert steps == len(data) // CHUNK_BYTES
 
 
 def test_what_is_held_already_is_not_kept_twice():
-    first = read_list(text([told("h1"), told("h2")]))
-    held = {e.host.id: e for e in first.entries}
-    reader = ListReader(held=held)
-    list(reader.feed(text([told("h1"), told("h2", weight=2.0)]), last=True))
-    same, other = reader.listing().entries
+    first = parse_server_list(text([told("h1"), told("h2")]))
+    held = {e.server.id: e for e in first.entries}
+    reader = ServerListReader(held=held)
+    list(reader.feed(text([told("h1"), told("h2", weight=2.0)]), final=True))
+    same, other = reader.server_list().entries
     assert same is held["h1"] and other is not held["h2"]
 
 
@@ -164,9 +164,9 @@
     def take(self, servers, version=3, full=True, mode=None):
         """Takes a list over; how often it gave way, and what was passed on."""
         self.seen.clear()
-        listed = read_list(text(servers, version, full), mode)
-        self.table.check(listed)
-        return sum(1 for _ in self.table.take(listed)), self.seen
+        listed = parse_server_list(text(servers, version, full), mode)
+        self.table.validate(listed)
+        return sum(1 for _ in self.table.apply(listed)), self.seen
 
 
 def test_only_what_changed_is_passed_on_and_what_a_whole_list_leaves_out_is_gone():
@@ -191,9 +191,9 @@
         ("stop", "h2"),
         ("delta", 3, [("h2", "up")]),
     ]
-    assert table.table.address("h2") == ("127.0.0.1", 2)
+    assert table.table.address_of("h2") == ("127.0.0.1", 2)
     assert table.take([told("h2", addr="", weight=3.0)], full=False)[1] == [("delta", 3, [("h2", "up")])]
-    assert table.table.address("h2") == ("127.0.0.1", 2)  # where it was
+    assert table.table.address_of("h2") == ("127.0.0.1", 2)  # where it was
 
 
 def test_a_long_list_is_taken_over_in_slices_and_what_stops_comes_first():
@@ -207,7 +207,7 @@
     stopping = [name for name, state in events[0] if state != "up"]
     assert len(stopping) == 11 and "h500" in stopping
     assert all(state == "up" for hosts in events[1:] for _, state in hosts)
-    assert table.table.address("h500") is None and table.table.address("h501")
+    assert table.table.address_of("h500") is None and table.table.address_of("h501")
 
 
 def test_a_long_list_that_says_nothing_new_is_compared_in_steps():
@@ -235,7 +235,7 @@
     table.take([told("h1")])
     table.take([told("h7", "draining"), told("h8", "removed")], full=False)
     assert "2 servers that were never listed" in caplog.text
-    assert sorted(table.table.entries) == ["h1", "h7"] and table.table.address("h7") is None
+    assert sorted(table.table.entries) == ["h1", "h7"] and table.table.address_of("h7") is None
 
 
 BAD_BODIES = {
@@ -289,7 +289,7 @@
         yield b" " * (discovery.COSTLY + 1)
         raise ValueError("an answer without end")
 
-    monkeypatch.setattr(agent.watch, "pieces", oversized)
+    monkeypatch.setattr(agent.watch, "read_body", oversized)
     await agent.play(60.0)
     began = [at for at, _ in agent.calls]
     pauses = [round(later - at, 6) for at, later in zip(began, began[1:], strict=False)]
@@ -309,7 +309,7 @@
             await discovery.asyncio.sleep(0.3)
             yield whole[start : start + 20]
 
-    monkeypatch.setattr(agent.watch, "pieces", slow)
+    monkeypatch.setattr(agent.watch, "read_body", slow)
     agent.watch.watch(True)
     await discovery.asyncio.sleep(1.9)
     assert len(agent.calls) == 1
@@ -329,7 +329,7 @@
                 steps.append(len(node.node.servers.entries))
                 yield step
 
-        node.node.discovery.told = counted
+        node.node.discovery.apply_list = counted
         many = [entry(host, f"x{n}") for n in range(3000)] + [entry(host)]
         whole = json.dumps({"version": 5, "full": True, "servers": many})
         node.discovery.raw = whole
@@ -343,7 +343,7 @@
 
 
 def test_pieces_and_slices_are_small_enough_to_let_others_run():
-    assert listing.PIECE <= 16 * 1024 and server_table.SLICE <= 128
+    assert server_list.CHUNK_BYTES <= 16 * 1024 and server_table.SLICE <= 128
     assert server_table.COMPARED <= 1000
 
 
@@ -352,7 +352,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         await node.discovery.calls.get()
         many = [entry(host, f"x{n}") for n in range(3 * SLICE)]
-        listed = read_list(json.dumps({"version": 5, "full": False, "servers": many}).encode())
+        listed = parse_server_list(json.dumps({"version": 5, "full": False, "servers": many}).encode())
         slices = node.node.take_list(listed, node.node.sources)
         next(slices)
         held = len(node.node.servers.entries)
