--- a/calicomast/net/discovery.py
+++ b/calicomast/net/discovery.py
@@ -90,22 +90,22 @@
     async def read_body(self, target: str) -> AsyncIterator[bytes]:
         """An answer's body as it comes in, on the resting connection if that is still good."""
         kept, self.resting = self.resting, None
-        if kept is not None and kept.free:
+        if kept is not None and kept.reusable:
             try:
                 async for piece in self.read_body_on(kept, target):
                     yield piece
                 return
             except ConnectionError:
-                if kept.heard:
+                if kept.received_data:
                     raise
         async for piece in self.read_body_on(HttpConnection(*self.address, self.max_body_bytes), target):
             yield piece
 
     async def read_body_on(self, conn: HttpConnection, target: str) -> AsyncIterator[bytes]:
-        async with aclosing(conn.read(target)) as body:
+        async with aclosing(conn.stream(target)) as body:
             async for piece in body:
                 yield piece
-        if conn.free:
+        if conn.reusable:
             if self.resting is not None:
                 self.resting.close()
             self.resting = conn
--- a/calicomast/net/http.py
+++ b/calicomast/net/http.py
@@ -1,7 +1,8 @@
-"""A connection to an HTTP/1.1 service, for one GET at a time: the whole body, or an error that says why not.
+"""An HTTP/1.1 client connection that performs one GET request at a time.
 
-The parser is a library's. A client library as a whole takes more CPU to import than the rest of the program,
-and where hundreds of processes start at once on few cores that decides how long a start takes.
+The library httptools parses the responses. A complete HTTP client library takes more CPU time to import than
+the rest of the program, and where hundreds of processes start at once on few cores, that decides how long a
+start takes.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 
 from httptools import HttpParserError, HttpResponseParser
 
-MOST_UNTAKEN = 256 * 1024  # bytes of a body that are read ahead of who takes them
+MAX_BUFFERED = 256 * 1024  # bytes of a body that are buffered before reading from the socket is paused
 
 
 class StatusError(Exception):
-    """The answer's status is not 200."""
+    """The response's status is not 200."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"status {status}")
@@ -24,131 +25,182 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """`free`: its last answer is whole, nothing lies behind it, and the service lets it be used again."""
-
-    def __init__(self, host: str, port: int, most: int) -> None:
-        self.host, self.port, self.most = host, port, most  # most: bytes of a body
-        self.name = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+    """A connection to one HTTP server, opened by its first request.
+
+    Args:
+        host: name or address of the server.
+        port: TCP port of the server.
+        max_body_bytes: a response with a longer body is an error.
+
+    Attributes:
+        reusable: whether the connection can carry another request. This requires that the last response is
+            complete, that no bytes followed it, and that the server keeps the connection open.
+        received_data: whether any bytes have arrived since the current request was sent.
+    """
+
+    def __init__(self, host: str, port: int, max_body_bytes: int) -> None:
+        self.host = host
+        self.port = port
+        self.max_body_bytes = max_body_bytes
+        self.host_header = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         self.transport: asyncio.Transport | None = None
         self.parser = HttpResponseParser(self)
-        self.pieces: deque[bytes] = deque()  # of the body, not taken yet
-        self.untaken, self.size, self.paused = 0, 0, False  # bytes of them; of the body so far
-        self.asked = self.over = False  # whether an answer is waited for; whether it is whole or has failed
+        self.chunks: deque[bytes] = deque()  # parts of the body that the caller has not taken yet
+        self.buffered_bytes = 0  # total length of `chunks`
+        self.body_bytes = 0  # length of the body received so far
+        self.reading_paused = False
+        self.awaiting_response = False
+        self.response_ended = False  # the response is complete or has failed
         self.error: Exception | None = None
-        self.news = asyncio.Event()
-        self.sized, self.headed, self.heard = False, False, False
-        self.free = False
+        self.progress = asyncio.Event()  # set when a chunk arrives or the response ends
+        self.has_body_length = False  # the response states a length or is chunked
+        self.headers_received = False
+        self.received_data = False
+        self.reusable = False
 
     async def get(self, target: str) -> bytes:
-        """The whole body. Cancelled or failed, it leaves the connection closed."""
-        return b"".join([piece async for piece in self.read(target)])
+        """Sends a GET request and returns the whole body.
+
+        If it is cancelled or fails, the connection is closed.
+
+        Raises:
+            StatusError: the status is not 200.
+            OSError: the connection failed or was closed before the response was complete.
+            ValueError: the bytes received are not an HTTP response, or the body is too long.
+        """
+        return b"".join([chunk async for chunk in self.stream(target)])
 
-    async def read(self, target: str) -> AsyncIterator[bytes]:
-        """The body in the pieces in which it comes; no more is read than is taken. Left early or failed, it
-        leaves the connection closed."""
-        self.free = False
+    async def stream(self, target: str) -> AsyncIterator[bytes]:
+        """Sends a GET request and yields the body in chunks as they arrive.
+
+        Reading from the socket pauses while the caller does not take the chunks. If the caller stops early or
+        the request fails, the connection is closed. Raises the same errors as `get`.
+        """
+        self.reusable = False
         try:
             if self.transport is None:
                 await asyncio.get_running_loop().create_connection(lambda: self, self.host, self.port)
-            self.ask(target)
+            self.send_request(target)
             while True:
-                while self.pieces:
-                    yield self.take()
-                if self.over:
+                while self.chunks:
+                    yield self.take_chunk()
+                if self.response_ended:
                     break
-                self.news.clear()
-                await self.news.wait()
+                self.progress.clear()
+                await self.progress.wait()
             if self.error is not None:
                 raise self.error
         finally:
-            self.asked = False
-            if not self.free:
+            self.awaiting_response = False
+            if not self.reusable:
                 self.close()
 
-    def ask(self, target: str) -> None:
+    def send_request(self, target: str) -> None:
+        """Resets the state of the previous response and writes a GET request."""
         assert self.transport is not None
         self.parser = HttpResponseParser(self)
-        self.pieces.clear()
-        self.untaken = self.size = 0
-        self.sized, self.headed, self.heard, self.over, self.error = False, False, False, False, None
-        self.asked = True
-        request = f"GET {target} HTTP/1.1\r\nHost: {self.name}\r\nAccept: application/json\r\n\r\n"
+        self.chunks.clear()
+        self.buffered_bytes = self.body_bytes = 0
+        self.has_body_length = False
+        self.headers_received = False
+        self.received_data = False
+        self.response_ended = False
+        self.error = None
+        self.awaiting_response = True
+        request = f"GET {target} HTTP/1.1\r\nHost: {self.host_header}\r\nAccept: application/json\r\n\r\n"
         self.transport.write(request.encode())
 
-    def take(self) -> bytes:
-        piece = self.pieces.popleft()
-        self.untaken -= len(piece)
-        if self.paused and self.untaken <= MOST_UNTAKEN and self.transport is not None:
-            self.paused = False
+    def take_chunk(self) -> bytes:
+        """Removes and returns the oldest buffered chunk, and resumes reading once there is room again."""
+        chunk = self.chunks.popleft()
+        self.buffered_bytes -= len(chunk)
+        if self.reading_paused and self.buffered_bytes <= MAX_BUFFERED and self.transport is not None:
+            self.reading_paused = False
             self.transport.resume_reading()
-        return piece
+        return chunk
 
     def close(self) -> None:
-        self.free = False
+        """Closes the connection at once; unsent bytes are discarded."""
+        self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport, self.paused = transport, False  # type: ignore[assignment]
+        """Stores the transport of the new connection; called by asyncio."""
+        self.transport, self.reading_paused = transport, False  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
-        self.heard = True
-        if not self.asked:  # nobody asked for it
+        """Passes received bytes to the parser; closes the connection on bytes that no request asked for."""
+        self.received_data = True
+        if not self.awaiting_response:
             self.close()
             return
         try:
             self.parser.feed_data(data)
         except HttpParserError as err:
-            self.end(ValueError(f"no HTTP answer: {err}"))
-            self.close()  # also where an answer was whole and noise came behind it
+            self.end_response(ValueError(f"not an HTTP response: {err}"))
+            self.close()  # needed as well if the response was complete and invalid bytes followed it
 
     def eof_received(self) -> None:
-        if self.headed and not self.sized:
-            self.end(None)  # a body of no stated length ends with the sending; a reset is no end
+        """Handles the end of the server's sending; called by asyncio."""
+        if self.headers_received and not self.has_body_length:
+            self.end_response(None)  # a body without a stated length ends here; it does not end with a reset
         self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.free = False
-        self.end(exc if isinstance(exc, OSError) else ConnectionError("closed without a whole answer"))
-
-    def end(self, error: Exception | None) -> None:
-        if not self.asked or self.over:
+        """Fails a response that is still incomplete; called by asyncio."""
+        self.reusable = False
+        self.end_response(
+            exc if isinstance(exc, OSError) else ConnectionError("closed before the response was complete")
+        )
+
+    def end_response(self, error: Exception | None) -> None:
+        """Ends the response with an error, or successfully if there is none and the status is 200."""
+        if not self.awaiting_response or self.response_ended:
             return
         status = self.parser.get_status_code()
         if error is None and status != 200:
             error = StatusError(status)
-        self.over, self.error = True, error
-        self.news.set()
+        self.response_ended, self.error = True, error
+        self.progress.set()
 
-    # What the parser finds
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        self.sized, self.headed = False, False
-        if not self.asked or self.over:  # an answer behind the answer
+        """Starts a response; closes the connection if it is one more than was requested."""
+        self.has_body_length, self.headers_received = False, False
+        if not self.awaiting_response or self.response_ended:
             self.close()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.sized = self.sized or name.lower() in (b"content-length", b"transfer-encoding")
+        """Notes whether the response states where its body ends."""
+        self.has_body_length = self.has_body_length or name.lower() in (
+            b"content-length",
+            b"transfer-encoding",
+        )
 
     def on_headers_complete(self) -> None:
-        self.headed = True
+        """Notes that the body follows."""
+        self.headers_received = True
 
     def on_body(self, body: bytes) -> None:
-        self.size += len(body)
-        if self.size > self.most:
-            self.end(ValueError("an answer without end"))
+        """Buffers a part of the body, and pauses reading if the caller does not keep up."""
+        self.body_bytes += len(body)
+        if self.body_bytes > self.max_body_bytes:
+            self.end_response(ValueError("the response body exceeds the size limit"))
             self.close()
-        elif not self.over and self.parser.get_status_code() == 200:
-            self.pieces.append(body)
-            self.untaken += len(body)
-            if self.untaken > MOST_UNTAKEN and not self.paused and self.transport is not None:
-                self.paused = True
+        elif not self.response_ended and self.parser.get_status_code() == 200:
+            self.chunks.append(body)
+            self.buffered_bytes += len(body)
+            if self.buffered_bytes > MAX_BUFFERED and not self.reading_paused and self.transport is not None:
+                self.reading_paused = True
                 self.transport.pause_reading()
-            self.news.set()
+            self.progress.set()
 
     def on_message_complete(self) -> None:
+        """Ends the response, unless it is an informational one that another response follows."""
         status = self.parser.get_status_code()
-        if 100 <= status < 200:  # more is to come
+        if 100 <= status < 200:
             return
-        self.free = self.parser.should_keep_alive() and not self.transport.is_closing()  # type: ignore
-        self.end(None)
+        self.reusable = self.parser.should_keep_alive() and not self.transport.is_closing()  # type: ignore
+        self.end_response(None)
--- a/tests/test_net_http.py
+++ b/tests/test_net_http.py
@@ -1,4 +1,4 @@
-"""One GET at a time: where an answer ends, and what is none."""
+"""HTTP connections: where a response ends, which responses are errors, and when a connection is reused."""
 
 import asyncio
 import socket
@@ -10,21 +10,24 @@
 from calicomast.net.http import HttpConnection, StatusError
 
 OK = b"HTTP/1.1 200 OK\r\n"
-SIZED = OK + b"Content-Length: 4\r\n\r\nbody"
+WITH_LENGTH = OK + b"Content-Length: 4\r\n\r\nbody"
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n"
 
 
-class Script(Served):
-    """Answers the n-th request with the n-th of some texts and then does what stands behind it."""
+class ScriptedServer(Served):
+    """Answers each request with the next of some responses, and then may end or reset the connection.
 
-    def __init__(self, *answers):
+    Each response is a pair: its bytes, and "end", "reset" or "" for a connection that stays open.
+    """
+
+    def __init__(self, *responses):
         super().__init__()
-        self.answers, self.asked = list(answers), []
+        self.responses, self.requests = list(responses), []
 
     async def serve(self, reader, writer):
         while head := await reader.readuntil(b"\r\n\r\n"):
-            self.asked.append((id(writer), head))
-            text, then = self.answers.pop(0)
+            self.requests.append((id(writer), head))
+            text, then = self.responses.pop(0)
             writer.write(text)
             await writer.drain()
             if then == "end":
@@ -37,34 +40,39 @@
                 return
 
 
-async def get(script, conn=None):
-    conn = conn or HttpConnection("127.0.0.1", script.port, 1000)
-    return conn, await conn.get("/v1/endpoints?index=1&wait=1")
+async def get(server, connection=None):
+    connection = connection or HttpConnection("127.0.0.1", server.port, 1000)
+    return connection, await connection.get("/v1/endpoints?index=1&wait=1")
 
 
 @pytest.mark.parametrize(
     "text",
-    [SIZED, CHUNKED, b"HTTP/1.1 100 Continue\r\n\r\n" + SIZED, SIZED.replace(b"Content-L", b"cONTENT-l")],
+    [
+        WITH_LENGTH,
+        CHUNKED,
+        b"HTTP/1.1 100 Continue\r\n\r\n" + WITH_LENGTH,
+        WITH_LENGTH.replace(b"Content-L", b"cONTENT-l"),
+    ],
 )
 @on_loop
-async def test_a_whole_answer_is_given_and_its_connection_used_again(text):
-    async with Script((text, ""), (text, "")) as script:
-        conn, body = await get(script)
-        assert body == b"body" and conn.free
-        assert (await get(script, conn))[1] == b"body"
-        (first, head), (second, _) = script.asked
+async def test_complete_response_is_returned_and_its_connection_reused(text):
+    async with ScriptedServer((text, ""), (text, "")) as server:
+        connection, body = await get(server)
+        assert body == b"body" and connection.reusable
+        assert (await get(server, connection))[1] == b"body"
+        (first, head), (second, _) = server.requests
         assert first == second and head.startswith(b"GET /v1/endpoints?index=1&wait=1 HTTP/1.1\r\nHost: 127.")
-        conn.close()
+        connection.close()
 
 
 @on_loop
-async def test_a_body_of_no_stated_length_ends_with_the_sending_and_not_with_a_reset():
+async def test_body_without_length_ends_at_end_of_stream_but_not_at_reset():
     text = OK + b"\r\nbody"
-    async with Script((text, "end"), (text, "reset")) as script:
-        conn, body = await get(script)
-        assert body == b"body" and not conn.free
+    async with ScriptedServer((text, "end"), (text, "reset")) as server:
+        connection, body = await get(server)
+        assert body == b"body" and not connection.reusable
         with pytest.raises(ConnectionError):
-            await get(script)
+            await get(server)
 
 
 @pytest.mark.parametrize(
@@ -81,40 +89,40 @@
     ],
 )
 @on_loop
-async def test_what_is_no_whole_answer_is_an_error_and_ends_the_connection(text, then, error):
-    async with Script((text, then)) as script:
-        conn = HttpConnection("127.0.0.1", script.port, 1000)
+async def test_malformed_or_incomplete_response_raises_and_closes_the_connection(text, then, error):
+    async with ScriptedServer((text, then)) as server:
+        connection = HttpConnection("127.0.0.1", server.port, 1000)
         with pytest.raises(error):
-            await conn.get("/")
-        assert conn.transport.is_closing() != conn.free
+            await connection.get("/")
+        assert connection.transport.is_closing() != connection.reusable
 
 
-@pytest.mark.parametrize("more", [b"noise", SIZED, b"\0"])
+@pytest.mark.parametrize("extra", [b"noise", WITH_LENGTH, b"\0"])
 @on_loop
-async def test_after_more_than_an_answer_a_connection_is_not_used_again(more):
-    async with Script((SIZED + more, "")) as script:
-        conn, body = await get(script)
+async def test_connection_is_closed_after_bytes_behind_the_response(extra):
+    async with ScriptedServer((WITH_LENGTH + extra, "")) as server:
+        connection, body = await get(server)
         assert body == b"body"
-        while not conn.transport.is_closing():
+        while not connection.transport.is_closing():
             await asyncio.sleep(0)
-        assert not conn.free
+        assert not connection.reusable
 
 
 @on_loop
-async def test_a_call_that_is_given_up_ends_its_connection():
-    async with Script((OK, "")) as script:
-        conn = HttpConnection("127.0.0.1", script.port, 1000)
-        call = asyncio.create_task(conn.get("/"))
-        while not script.asked:
+async def test_cancelled_request_closes_its_connection():
+    async with ScriptedServer((OK, "")) as server:
+        connection = HttpConnection("127.0.0.1", server.port, 1000)
+        request = asyncio.create_task(connection.get("/"))
+        while not server.requests:
             await asyncio.sleep(0)
-        call.cancel()
-        await asyncio.wait([call])
-        assert conn.transport.is_closing() and not conn.free
+        request.cancel()
+        await asyncio.wait([request])
+        assert connection.transport.is_closing() and not connection.reusable
 
 
 @on_loop
-async def test_nobody_there_is_an_error():
-    async with Script() as script:
-        port = script.port
+async def test_refused_connection_raises_oserror():
+    async with ScriptedServer() as server:
+        port = server.port
     with pytest.raises(OSError):
         await HttpConnection("127.0.0.1", port, 1000).get("/")
