--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -5,28 +5,18 @@
 from urllib.parse import parse_qsl, urlsplit
 
 import pytest
-from netkit import (
-    CLIENT_REPLY,
-    GatewayHarness,
-    StubDiscovery,
-    StubServer,
-    command,
-    gateway_config,
-    in_virtual_time,
-    on_loop,
-    server_entry,
-)
+from netkit import (CLIENT_REPLY, GatewayHarness, StubDiscovery, StubServer, command, gateway_config, in_virtual_time, on_loop, server_entry,)
 
 from calicomast import interface as api
 from calicomast.net import discovery
 from calicomast.net.config import read_config
 from calicomast.net.http import StatusError
-from calicomast.net.listing import read_list
+from calicomast.net.server_list import parse_server_list
 
 
 def sendable(node):
     """The servers that requests may be sent to."""
-    return {name for name in node.service.server_table.entries if node.service.server_table.address(name)}
+    return {name for name in node.service.server_table.entries if node.service.server_table.address_of(name)}
 
 
 @on_loop
@@ -56,15 +46,7 @@
         assert [c[2] for c in new.commands] == [b"b"]
 
 
-@pytest.mark.parametrize(
-    "raw",
-    [
-        "{",
-        "[]",
-        '{"version":3,"full":true,"servers":[{"id":"h9"}]}',
-        '{"version":"x","full":false,"servers":[]}',
-    ],
-)
+@pytest.mark.parametrize("raw", ["{", "[]", '{"version":3,"full":true,"servers":[{"id":"h9"}]}', '{"version":"x","full":false,"servers":[]}',],)
 @on_loop
 async def test_malformed_lists_leave_the_last_one_in_force(raw, tmp_path):
     async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
@@ -82,16 +64,7 @@
 async def test_an_odd_entry_does_not_hide_the_drains_beside_it(tmp_path):
     async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
         await node.discovery.calls.get()
-        node.discovery.changes.put_nowait(
-            [
-                {"id": "h9"},
-                None,
-                server_entry(two, "h8") | {"weight": "x"},
-                server_entry(one, "h1", "draining"),
-                server_entry(two, "h7") | {"addr": "nowhere"},
-                server_entry(two, "h6", "odd"),
-            ]
-        )
+        node.discovery.changes.put_nowait([{"id": "h9"}, None, server_entry(two, "h8") | {"weight": "x"}, server_entry(one, "h1", "draining"), server_entry(two, "h7") | {"addr": "nowhere"}, server_entry(two, "h6", "odd"),])
         while (await node.discovery.calls.get()).get("index") != "2":
             pass
         assert sendable(node) == {"h2"}
@@ -132,7 +105,7 @@
         seen.clear()
         drains = {"version": 2, "full": False, "servers": [server_entry(host, "h1", "draining")]}
         # in one step
-        assert list(node.service.apply_server_list(read_list(json.dumps(drains).encode()))) == []
+        assert list(node.service.apply_server_list(parse_server_list(json.dumps(drains).encode()))) == []
         await done.wait()
         assert seen == [api.HostList, api.Outcome, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
@@ -174,13 +147,13 @@
         monkeypatch.setattr(discovery.random, "random", lambda: 1.0)  # the longest pauses
         self.behave, self.loop, self.calls, self.most = behave, asyncio.get_running_loop(), [], 0
         self.lists, self.heard = [(0.0, 7)], []  # from when which version; when which was told
-        self.watch = discovery.Discovery(("127.0.0.1", 1), 7, self.told, lambda: None, held, grace)
-        monkeypatch.setattr(self.watch, "pieces", self.pieces)
+        self.watch = discovery.DiscoveryClient(("127.0.0.1", 1), 7, self.told, lambda: None, held, grace)
+        monkeypatch.setattr(self.watch, "read_body", self.read_body)
 
     def told(self, listing):
         self.heard.append((self.loop.time(), listing.version))
 
-    async def pieces(self, target):
+    async def read_body(self, target):
         yield (await self.body(target)).encode()
 
     async def body(self, target):
@@ -199,13 +172,7 @@
                 await asyncio.sleep(0.01)
             version = self.version()
         entry = {"id": "h1", "addr": "127.0.0.1:1", "state": "draining"}
-        return json.dumps(
-            {
-                "version": version,
-                "full": "index" not in query,
-                "servers": [entry] * (version != int(query.get("index", "-1"))),
-            }
-        )
+        return json.dumps({"version": version, "full": "index" not in query, "servers": [entry] * (version != int(query.get("index", "-1"))),})
 
     def version(self):
         return [version for at, version in self.lists if at <= self.loop.time()][-1]
@@ -232,14 +199,7 @@
     assert agent.most <= discovery.MOST_OPEN + 1
 
 
-FAILURES = [
-    StatusError(503),
-    ValueError("odd"),
-    ConnectionResetError("reset"),
-    ConnectionRefusedError("no"),
-    StatusError(404),
-    json.JSONDecodeError("odd", "", 0),
-]
+FAILURES = [StatusError(503), ValueError("odd"), ConnectionResetError("reset"), ConnectionRefusedError("no"), StatusError(404), json.JSONDecodeError("odd", "", 0),]
 
 
 @pytest.mark.parametrize("failure", FAILURES, ids=repr)
@@ -306,19 +266,14 @@
             raise asyncio.CancelledError  # not for ever
         yield b'{"version": 7, "full": false, "servers": []}'
 
-    monkeypatch.setattr(agent.watch, "pieces", at_once)
+    monkeypatch.setattr(agent.watch, "read_body", at_once)
     await agent.play(2.0)
     assert 5 < len(agent.calls) <= 21
 
 
 @on_loop
 async def test_an_old_watch_tells_nothing_once_the_configuration_names_another(tmp_path):
-    async with (
-        StubServer() as old,
-        StubServer() as new,
-        StubDiscovery() as next_one,
-        GatewayHarness(old, path=tmp_path) as node,
-    ):
+    async with (StubServer() as old, StubServer() as new, StubDiscovery() as next_one, GatewayHarness(old, path=tmp_path) as node,):
         next_one.servers = [server_entry(new, "h2")]
         while "index" not in await node.discovery.calls.get():
             pass
