--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -28,7 +28,10 @@
 from calicomast.net.server_list import ServerList
 from calicomast.net.server_table import ServerTable
 from calicomast.policy import Gateway
-from calicomast.rules import (Verdict, may_take_request,)
+from calicomast.rules import (
+    Verdict,
+    may_take_request,
+)
 
 RESPONSE_MARGIN = 0.03  # s before the client gives up by which the module is to be done
 # s after it for which an answer is still worth nothing but is one; later the request is lost
@@ -76,15 +79,33 @@
         # Bodies in work and half commands are bounded: past the limit of memory the program is killed.
         self.most_held = max(LEAST_HELD, (config.memory - BASE_MEMORY_BYTES) // 4)
         self.clients = ClientServer(self, room // 2, self.most_held, self.event_log)
-        self.server_table = ServerTable(self.feed, lambda server: self.server_connections.stop(server), self.clock.local_start_time)
-        self.server_connections = Hosts(config.connect_timeout, config.idle_close, room // 2, self.server_table.address_of)
-        self.control = AttemptControl(config.settings, self.clock, self.server_table.is_available, self.admits_late, self.event_log)
+        self.server_table = ServerTable(
+            self.feed, lambda server: self.server_connections.stop(server), self.clock.local_start_time
+        )
+        self.server_connections = Hosts(
+            config.connect_timeout, config.idle_close, room // 2, self.server_table.address_of
+        )
+        self.control = AttemptControl(
+            config.settings, self.clock, self.server_table.is_available, self.admits_late, self.event_log
+        )
         self.counter = Counter(config.counter, self.settings.counter_timeout) if config.counter else None
         self.max_server_list_bytes = max_server_list_bytes(config.memory)
         self.discovery_generation = 0  # discoveries that were named one after another
         self.discovery = self.new_discovery(config, config.known.version, held=bool(config.known.entries))
         self.endings: set[asyncio.Task[None]] = set()  # what a new configuration replaced, until it has ended
-        self.actions = {api.Send: self.send, api.Refuse: self.refuse, api.Fail: self.fail, api.Cancel: self.cancel, api.Count: self.count, api.SetTimer: self.set_timer, api.Probe: self.probe, api.Close: lambda a: self.server_connections.close_idle(a.host), api.Fetch: lambda a: self.discovery.fetch(), api.Watch: lambda a: self.discovery.watch(a.on), api.Log: lambda a: log.info("module: %s", a.text),}
+        self.actions = {
+            api.Send: self.send,
+            api.Refuse: self.refuse,
+            api.Fail: self.fail,
+            api.Cancel: self.cancel,
+            api.Count: self.count,
+            api.SetTimer: self.set_timer,
+            api.Probe: self.probe,
+            api.Close: lambda a: self.server_connections.close_idle(a.host),
+            api.Fetch: lambda a: self.discovery.fetch(),
+            api.Watch: lambda a: self.discovery.watch(a.on),
+            api.Log: lambda a: log.info("module: %s", a.text),
+        }
 
     async def start(self) -> None:
         """All but the listener: before the first client comes the module knows its hosts."""
@@ -122,7 +143,16 @@
     def new_discovery(self, config: Config, version: int, held: bool) -> DiscoveryClient:
         self.discovery_generation += 1
         source = self.discovery_generation
-        return DiscoveryClient(config.discovery, version, lambda listing: self.apply_server_list(listing, source), self.list_failed, has_list=held, drain_grace=self.settings.rules.drain_grace, max_body_bytes=self.max_server_list_bytes, known_entries=self.server_table.entries,)
+        return DiscoveryClient(
+            config.discovery,
+            version,
+            lambda listing: self.apply_server_list(listing, source),
+            self.list_failed,
+            has_list=held,
+            drain_grace=self.settings.rules.drain_grace,
+            max_body_bytes=self.max_server_list_bytes,
+            known_entries=self.server_table.entries,
+        )
 
     @property
     def stopping(self) -> bool:
@@ -221,17 +251,28 @@
         request = read_request(command, self.settings, RESPONSE_MARGIN + slot.client.waited())
         if request.id in self.active_requests:
             raise BadRequest("this id is in work")
-        verdict = may_take_request(ending=self.refusing, in_work=len(self.active_requests), most_in_work=self.config.max_open, held=self.held_body_bytes, most_held=self.most_held,)
+        verdict = may_take_request(
+            ending=self.refusing,
+            in_work=len(self.active_requests),
+            most_in_work=self.config.max_open,
+            held=self.held_body_bytes,
+            most_held=self.most_held,
+        )
         if verdict is not Verdict.ALLOWED:
             self.event_log.note(Kind.REQUEST_REFUSED, verdict.value)
             slot.reply(BUSY)
             return
         now = time.monotonic()
         work = Work(request.id, slot, command, now + request.left)
-        slot.token, slot.due = (work, now + min(request.left + RESPONSE_MARGIN, self.longest) + LATE_ANSWER_GRACE,)
+        slot.token, slot.due = (
+            work,
+            now + min(request.left + RESPONSE_MARGIN, self.longest) + LATE_ANSWER_GRACE,
+        )
         self.active_requests[request.id] = work
         self.held_body_bytes += len(command[-1])
-        work.guard = self.loop.call_later(max(0.0, request.left + RESPONSE_MARGIN - DEADLINE_GUARD_MARGIN), self.fail_overdue, work)
+        work.guard = self.loop.call_later(
+            max(0.0, request.left + RESPONSE_MARGIN - DEADLINE_GUARD_MARGIN), self.fail_overdue, work
+        )
         self.feed(request)
 
     def handle_client_gone(self, slot: Slot) -> None:
@@ -332,7 +373,18 @@
         elif result == "ok" and not over:
             self.finish_request(work, bulk(attempt.value))
         self.forget(work)
-        self.feed(api.Outcome(work.id, number, attempt.host, result, attempt.elapsed(), work.over, used=attempt.used, report=attempt.report,))
+        self.feed(
+            api.Outcome(
+                work.id,
+                number,
+                attempt.host,
+                result,
+                attempt.elapsed(),
+                work.over,
+                used=attempt.used,
+                report=attempt.report,
+            )
+        )
 
     def cancel(self, action: api.Cancel) -> None:
         work = self.active_requests.get(action.id)
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -136,7 +136,8 @@
     """The server that started last gets all requests at once."""
     admission.ColdAdmission.left = lambda *told: 1e9  # type: ignore[method-assign]
     servers.Fleet.best = (  # type: ignore[method-assign]
-        lambda self, now, keys, pool, charge: max(pool, key=lambda s: s.host.started, default=None))
+        lambda self, now, keys, pool, charge: max(pool, key=lambda s: s.host.started, default=None)
+    )
 
 
 def quotas_hold() -> None:
@@ -178,7 +179,27 @@
     requests.Work.payload = lambda self, left: b"GET / HTTP/1.1\r\n\r\n"  # type: ignore[method-assign]
 
 
-BREAKS: dict[str, Callable[[], None]] = {each.__name__: each for each in (one_answer, right_answer, runs_once, repeats_in_window, nothing_after_leaving, nothing_after_answer, deadline_told, drained_servers_rest, changes_are_heard, cold_servers_stand, quotas_hold, bad_clients_are_answered, processes_live, resources_stay, own_checks_hold, commands_are_sound,)}
+BREAKS: dict[str, Callable[[], None]] = {
+    each.__name__: each
+    for each in (
+        one_answer,
+        right_answer,
+        runs_once,
+        repeats_in_window,
+        nothing_after_leaving,
+        nothing_after_answer,
+        deadline_told,
+        drained_servers_rest,
+        changes_are_heard,
+        cold_servers_stand,
+        quotas_hold,
+        bad_clients_are_answered,
+        processes_live,
+        resources_stay,
+        own_checks_hold,
+        commands_are_sound,
+    )
+}
 
 if __name__ == "__main__":
     hangups = SighupCounter()
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -5,7 +5,17 @@
 from urllib.parse import parse_qsl, urlsplit
 
 import pytest
-from netkit import (CLIENT_REPLY, GatewayHarness, StubDiscovery, StubServer, command, gateway_config, in_virtual_time, on_loop, server_entry,)
+from netkit import (
+    CLIENT_REPLY,
+    GatewayHarness,
+    StubDiscovery,
+    StubServer,
+    command,
+    gateway_config,
+    in_virtual_time,
+    on_loop,
+    server_entry,
+)
 
 from calicomast import interface as api
 from calicomast.net import discovery
@@ -46,7 +56,15 @@
         assert [c[2] for c in new.commands] == [b"b"]
 
 
-@pytest.mark.parametrize("raw", ["{", "[]", '{"version":3,"full":true,"servers":[{"id":"h9"}]}', '{"version":"x","full":false,"servers":[]}',],)
+@pytest.mark.parametrize(
+    "raw",
+    [
+        "{",
+        "[]",
+        '{"version":3,"full":true,"servers":[{"id":"h9"}]}',
+        '{"version":"x","full":false,"servers":[]}',
+    ],
+)
 @on_loop
 async def test_malformed_lists_leave_the_last_one_in_force(raw, tmp_path):
     async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
@@ -64,7 +82,16 @@
 async def test_an_odd_entry_does_not_hide_the_drains_beside_it(tmp_path):
     async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
         await node.discovery.calls.get()
-        node.discovery.changes.put_nowait([{"id": "h9"}, None, server_entry(two, "h8") | {"weight": "x"}, server_entry(one, "h1", "draining"), server_entry(two, "h7") | {"addr": "nowhere"}, server_entry(two, "h6", "odd"),])
+        node.discovery.changes.put_nowait(
+            [
+                {"id": "h9"},
+                None,
+                server_entry(two, "h8") | {"weight": "x"},
+                server_entry(one, "h1", "draining"),
+                server_entry(two, "h7") | {"addr": "nowhere"},
+                server_entry(two, "h6", "odd"),
+            ]
+        )
         while (await node.discovery.calls.get()).get("index") != "2":
             pass
         assert sendable(node) == {"h2"}
@@ -172,7 +199,13 @@
                 await asyncio.sleep(0.01)
             version = self.version()
         entry = {"id": "h1", "addr": "127.0.0.1:1", "state": "draining"}
-        return json.dumps({"version": version, "full": "index" not in query, "servers": [entry] * (version != int(query.get("index", "-1"))),})
+        return json.dumps(
+            {
+                "version": version,
+                "full": "index" not in query,
+                "servers": [entry] * (version != int(query.get("index", "-1"))),
+            }
+        )
 
     def version(self):
         return [version for at, version in self.lists if at <= self.loop.time()][-1]
@@ -199,7 +232,14 @@
     assert agent.most <= discovery.MOST_OPEN + 1
 
 
-FAILURES = [StatusError(503), ValueError("odd"), ConnectionResetError("reset"), ConnectionRefusedError("no"), StatusError(404), json.JSONDecodeError("odd", "", 0),]
+FAILURES = [
+    StatusError(503),
+    ValueError("odd"),
+    ConnectionResetError("reset"),
+    ConnectionRefusedError("no"),
+    StatusError(404),
+    json.JSONDecodeError("odd", "", 0),
+]
 
 
 @pytest.mark.parametrize("failure", FAILURES, ids=repr)
@@ -273,7 +313,12 @@
 
 @on_loop
 async def test_an_old_watch_tells_nothing_once_the_configuration_names_another(tmp_path):
-    async with (StubServer() as old, StubServer() as new, StubDiscovery() as next_one, GatewayHarness(old, path=tmp_path) as node,):
+    async with (
+        StubServer() as old,
+        StubServer() as new,
+        StubDiscovery() as next_one,
+        GatewayHarness(old, path=tmp_path) as node,
+    ):
         next_one.servers = [server_entry(new, "h2")]
         while "index" not in await node.discovery.calls.get():
             pass
--- a/tests/test_net_http.py
+++ b/tests/test_net_http.py
@@ -33,7 +33,9 @@
             if then == "end":
                 return
             if then == "reset":
-                writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                writer.get_extra_info("socket").setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+                )
                 writer.transport.abort()
                 return
 
@@ -43,7 +45,15 @@
     return connection, await connection.get("/v1/endpoints?index=1&wait=1")
 
 
-@pytest.mark.parametrize("text", [WITH_LENGTH, CHUNKED, b"HTTP/1.1 100 Continue\r\n\r\n" + WITH_LENGTH, WITH_LENGTH.replace(b"Content-L", b"cONTENT-l"),],)
+@pytest.mark.parametrize(
+    "text",
+    [
+        WITH_LENGTH,
+        CHUNKED,
+        b"HTTP/1.1 100 Continue\r\n\r\n" + WITH_LENGTH,
+        WITH_LENGTH.replace(b"Content-L", b"cONTENT-l"),
+    ],
+)
 @on_loop
 async def test_complete_response_is_returned_and_its_connection_reused(text):
     async with ScriptedServer((text, ""), (text, "")) as server:
@@ -65,7 +75,19 @@
             await get(server)
 
 
-@pytest.mark.parametrize("text, then, error", [(b"nonsense\r\n\r\n", "", ValueError), (OK + b"Content-Length: x\r\n\r\n", "", ValueError), (OK + b"Content-Length: 9\r\n\r\nbody", "end", ConnectionError), (b"", "end", ConnectionError), (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "", StatusError), (b"HTTP/1.1 100 Continue\r\n\r\n", "end", StatusError), (OK + b"Content-Length: 9999\r\n\r\n" + b"x" * 1001, "", ValueError), (OK + b"\r\n" + b"x" * 1001, "", ValueError),],)
+@pytest.mark.parametrize(
+    "text, then, error",
+    [
+        (b"nonsense\r\n\r\n", "", ValueError),
+        (OK + b"Content-Length: x\r\n\r\n", "", ValueError),
+        (OK + b"Content-Length: 9\r\n\r\nbody", "end", ConnectionError),
+        (b"", "end", ConnectionError),
+        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "", StatusError),
+        (b"HTTP/1.1 100 Continue\r\n\r\n", "end", StatusError),
+        (OK + b"Content-Length: 9999\r\n\r\n" + b"x" * 1001, "", ValueError),
+        (OK + b"\r\n" + b"x" * 1001, "", ValueError),
+    ],
+)
 @on_loop
 async def test_malformed_or_incomplete_response_raises_and_closes_the_connection(text, then, error):
     async with ScriptedServer((text, then)) as server:
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -13,7 +13,17 @@
 from pathlib import Path
 
 import pytest
-from netkit import (CLIENT_REPLY, StubCounter, StubDiscovery, StubServer, command, gateway_config, on_loop, read_reply, server_entry,)
+from netkit import (
+    CLIENT_REPLY,
+    StubCounter,
+    StubDiscovery,
+    StubServer,
+    command,
+    gateway_config,
+    on_loop,
+    read_reply,
+    server_entry,
+)
 
 from calicomast.net.counter import LINES
 from calicomast.net.program import STEPS_PER_TURN, Reloader
@@ -28,7 +38,21 @@
     return json.dumps(gateway_config([], 1, 2) | kw)
 
 
-@pytest.mark.parametrize("text, word", [(None, "RELAY_CONFIG"), ("{", "Expecting"), ("[]", "list"), ("{}", "settings"), (spoilt(seed="xyz"), "xyz"), (spoilt(listen="nowhere"), "nowhere"), (spoilt(counter=""), "counter"), (spoilt(settings={}), "limits"), (spoilt(known={"version": 1}), "list of hosts"), (spoilt(listen="127.0.0.1:99999999"), "99999999"),],)
+@pytest.mark.parametrize(
+    "text, word",
+    [
+        (None, "RELAY_CONFIG"),
+        ("{", "Expecting"),
+        ("[]", "list"),
+        ("{}", "settings"),
+        (spoilt(seed="xyz"), "xyz"),
+        (spoilt(listen="nowhere"), "nowhere"),
+        (spoilt(counter=""), "counter"),
+        (spoilt(settings={}), "limits"),
+        (spoilt(known={"version": 1}), "list of hosts"),
+        (spoilt(listen="127.0.0.1:99999999"), "99999999"),
+    ],
+)
 def test_a_bad_configuration_is_one_plain_line(text, word, tmp_path):
     env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
     if text is not None:
@@ -45,7 +69,9 @@
         discovery.servers = [server_entry(host)]
         config = tmp_path / "config.json"
         config.write_text(json.dumps(gateway_config([server_entry(host)], discovery.port, counter.port)))
-        program = await asyncio.create_subprocess_exec(*PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE)
+        program = await asyncio.create_subprocess_exec(
+            *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+        )
         port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(PING)
@@ -68,9 +94,13 @@
         discovery.servers = [server_entry(host)]
         config, port = tmp_path / "config.json", 0
         for life in (b"first", b"second"):
-            text = gateway_config([server_entry(host)], discovery.port, counter.port) | {"listen": f"127.0.0.1:{port}"}
+            text = gateway_config([server_entry(host)], discovery.port, counter.port) | {
+                "listen": f"127.0.0.1:{port}"
+            }
             config.write_text(json.dumps(text))
-            program = await asyncio.create_subprocess_exec(*PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE)
+            program = await asyncio.create_subprocess_exec(
+                *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+            )
             port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(command(life))
@@ -81,8 +111,19 @@
 
 @on_loop
 async def test_sighup_moves_to_the_addresses_in_the_file(tmp_path):
-    async with (StubServer(None) as host, StubServer() as new, StubCounter() as counter, StubCounter() as counter2, StubDiscovery() as discovery, StubDiscovery() as discovery2,):
-        discovery.servers, discovery2.servers, discovery2.version = ([server_entry(host)], [server_entry(new, "h2")], 1,)
+    async with (
+        StubServer(None) as host,
+        StubServer() as new,
+        StubCounter() as counter,
+        StubCounter() as counter2,
+        StubDiscovery() as discovery,
+        StubDiscovery() as discovery2,
+    ):
+        discovery.servers, discovery2.servers, discovery2.version = (
+            [server_entry(host)],
+            [server_entry(new, "h2")],
+            1,
+        )
         config = tmp_path / "config.json"
         config.write_text(json.dumps(gateway_config([server_entry(host)], discovery.port, counter.port)))
         env = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_DISCOVERY": f"127.0.0.1:{discovery.port}"}
@@ -128,7 +169,12 @@
 @on_loop
 async def test_idle_clients_fill_no_descriptor_that_something_else_needs(sockets, tmp_path):
     """While discovery is silent, which takes one for each call that is out, up to its limit."""
-    async with (StubServer() as host, StubServer() as new, StubCounter() as counter, StubDiscovery() as discovery,):
+    async with (
+        StubServer() as host,
+        StubServer() as new,
+        StubCounter() as counter,
+        StubDiscovery() as discovery,
+    ):
         discovery.servers, discovery.silent = [server_entry(host)], True
         config = tmp_path / "config.json"
         text = gateway_config([server_entry(host)], discovery.port, counter.port)
@@ -137,7 +183,9 @@
             port = free.getsockname()[1]
         text["listen"] = f"127.0.0.1:{port}"
         config.write_text(json.dumps(text))
-        program = await asyncio.create_subprocess_exec(*PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.DEVNULL)
+        program = await asyncio.create_subprocess_exec(
+            *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.DEVNULL
+        )
         resource.prlimit(program.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
         while not await listens(port):
             pass
@@ -159,7 +207,9 @@
             host.writers.pop().close()  # so that the next attempt has to open a connection
         discovery.silent = False
         discovery.servers, discovery.version = [server_entry(new, "h2")], 2
-        discovery.raw_response = json.dumps({"version": 2, "full": True, "servers": [server_entry(new, "h2")]})
+        discovery.raw_response = json.dumps(
+            {"version": 2, "full": True, "servers": [server_entry(new, "h2")]}
+        )
         while not new.commands:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(command(b"r%d" % next(number)))
@@ -208,7 +258,9 @@
             port = before.getsockname()[1]
             listed = gateway_config([server_entry(host)], discovery.port, counter.port)
             config.write_text(json.dumps(listed | {"listen": f"127.0.0.1:{port}"}))
-            program = await asyncio.create_subprocess_exec(*PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE)
+            program = await asyncio.create_subprocess_exec(
+                *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+            )
             assert b"in use" in await program.stderr.readline()
         while b"listens on" not in (line := await program.stderr.readline()):
             assert b"in use" in line
@@ -278,7 +330,9 @@
             listed = gateway_config([server_entry(host)], discovery.port, counter.port)
             listed["listen"] = f"127.0.0.1:{before.getsockname()[1]}"
             config.write_text(json.dumps(listed))
-            program = await asyncio.create_subprocess_exec(*PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE)
+            program = await asyncio.create_subprocess_exec(
+                *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+            )
             assert b"in use" in await program.stderr.readline()
             program.send_signal(signal.SIGTERM)
             program.send_signal(signal.SIGTERM)
--- a/tests/test_net_server_list.py
+++ b/tests/test_net_server_list.py
@@ -64,7 +64,28 @@
             parse_server_list(whole[:end])
 
 
-@pytest.mark.parametrize("bad", [b"[]", b"{", b"null", b'{"servers": 5}', b'{"version":1,"full":true}', b'{"servers": [], "version": 1}', b'{"servers": [], "version": 1, "full": true} more', b'{"servers": [1 2], "version": 1, "full": true}', b'{"servers": [], "version": -1, "full": true}', b'{"servers": [], "version": 1e400, "full": true}', b'{"servers": [], "version": 99999999999999999999, "full": true}', b'{"servers": [], "version": "x", "full": true}', b"{1: 2}", b"\xff\xfe", b'{"a":' + b"[" * 100_000, text([{"id": "h9"}]),], ids=lambda bad: bad[:40],)
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"[]",
+        b"{",
+        b"null",
+        b'{"servers": 5}',
+        b'{"version":1,"full":true}',
+        b'{"servers": [], "version": 1}',
+        b'{"servers": [], "version": 1, "full": true} more',
+        b'{"servers": [1 2], "version": 1, "full": true}',
+        b'{"servers": [], "version": -1, "full": true}',
+        b'{"servers": [], "version": 1e400, "full": true}',
+        b'{"servers": [], "version": 99999999999999999999, "full": true}',
+        b'{"servers": [], "version": "x", "full": true}',
+        b"{1: 2}",
+        b"\xff\xfe",
+        b'{"a":' + b"[" * 100_000,
+        text([{"id": "h9"}]),
+    ],
+    ids=lambda bad: bad[:40],
+)
 def test_what_is_no_list_is_a_value_error(bad):
     with pytest.raises(ValueError):
         parse_server_list(bad)
@@ -81,7 +102,22 @@
     assert fed <= LONGEST_VALUE + 2 * CHUNK_BYTES
 
 
-ODD = [{"id": "h9"}, None, 7, told("h8", weight="x"), told("h8", weight=-1), told("h8", weight=1e999), told("h8", cell=-4), told("h8", cell=10**30), told("h8", started_ms=-5), told("h8", addr="nowhere"), told("h8", addr="127.0.0.1:99999"), told("h8", state="odd"), told(8), told("h\ud800"),]
+ODD = [
+    {"id": "h9"},
+    None,
+    7,
+    told("h8", weight="x"),
+    told("h8", weight=-1),
+    told("h8", weight=1e999),
+    told("h8", cell=-4),
+    told("h8", cell=10**30),
+    told("h8", started_ms=-5),
+    told("h8", addr="nowhere"),
+    told("h8", addr="127.0.0.1:99999"),
+    told("h8", state="odd"),
+    told(8),
+    told("h\ud800"),
+]
 
 
 def test_entries_that_cannot_be_read_harm_no_other_and_are_a_warning(caplog):
@@ -135,9 +171,15 @@
 
 def test_only_what_changed_is_passed_on_and_what_a_whole_list_leaves_out_is_gone():
     table = Table()
-    assert table.take([told("h1"), told("h2")], mode="cached") == (0, [("cached", 3, [("h1", "up"), ("h2", "up")])],)
+    assert table.take([told("h1"), told("h2")], mode="cached") == (
+        0,
+        [("cached", 3, [("h1", "up"), ("h2", "up")])],
+    )
     assert table.take([told("h1"), told("h2")])[1] == [("delta", 3, [])]
-    assert table.take([told("h2"), told("h3", started_ms=5000)], 4)[1] == [("delta", 4, [("h1", "down"), ("h3", "up")]), ("stop", "h1"),]
+    assert table.take([told("h2"), told("h3", started_ms=5000)], 4)[1] == [
+        ("delta", 4, [("h1", "down"), ("h3", "up")]),
+        ("stop", "h1"),
+    ]
     assert set(table.table.entries) == {"h2", "h3"}
 
 
@@ -145,7 +187,10 @@
     table = Table()
     table.take([told("h1"), told("h2")])
     assert table.take([told("h1", started_ms=7000)], full=False)[1] == [("delta", 3, [("h1", "up")])]
-    assert table.take([told("h2", addr="127.0.0.1:2")], full=False)[1] == [("stop", "h2"), ("delta", 3, [("h2", "up")]),]
+    assert table.take([told("h2", addr="127.0.0.1:2")], full=False)[1] == [
+        ("stop", "h2"),
+        ("delta", 3, [("h2", "up")]),
+    ]
     assert table.table.address_of("h2") == ("127.0.0.1", 2)
     assert table.take([told("h2", addr="", weight=3.0)], full=False)[1] == [("delta", 3, [("h2", "up")])]
     assert table.table.address_of("h2") == ("127.0.0.1", 2)  # where it was
@@ -193,7 +238,12 @@
     assert sorted(table.table.entries) == ["h1", "h7"] and table.table.address_of("h7") is None
 
 
-BAD_BODIES = {"cut short": text([told("h1")])[:-9].decode(), "negative version": '{"version":-3,"full":true,"servers":[]}', "no servers": '{"version":9,"full":true,"servers":[]}', "absurd version": '{"version":1e999,"full":true,"servers":[]}',}
+BAD_BODIES = {
+    "cut short": text([told("h1")])[:-9].decode(),
+    "negative version": '{"version":-3,"full":true,"servers":[]}',
+    "no servers": '{"version":9,"full":true,"servers":[]}',
+    "absurd version": '{"version":1e999,"full":true,"servers":[]}',
+}
 
 
 @pytest.mark.parametrize("raw", BAD_BODIES.values(), ids=BAD_BODIES)
@@ -226,7 +276,9 @@
 
 
 def test_the_bound_on_a_list_comes_from_the_memory(tmp_path):
-    assert gateway.max_server_list_bytes(192 * 1024 * 1024) > 4 * gateway.max_server_list_bytes(72 * 1024 * 1024)
+    assert gateway.max_server_list_bytes(192 * 1024 * 1024) > 4 * gateway.max_server_list_bytes(
+        72 * 1024 * 1024
+    )
     assert gateway.max_server_list_bytes(16 * 1024 * 1024) == gateway.MIN_SERVER_LIST_BYTES
 
 
