--- a/calicomast/net/attempts.py
+++ b/calicomast/net/attempts.py
@@ -13,9 +13,9 @@
 from calicomast import interface as api
 from calicomast.net.clock import Clock
 from calicomast.net.events import EventLog, Kind
-from calicomast.net.hosts import Attempt
 from calicomast.net.invariants import MONITOR, Invariant
 from calicomast.net.requests import Work
+from calicomast.net.server_connections import Attempt
 from calicomast.rules import HOLD_UP, AttemptFacts, Verdict, may_write_attempt
 
 TIME_TOLD = re.compile(rb"[\n,]d=([0-9]+)")  # in a command on the wire
@@ -51,18 +51,18 @@
                 finished=work.over,
                 client_gone=not work.over and work.slot.client.has_left(),
                 left=work.deadline - monotonic(),
-                repeat_left=attempt.repeat_until - self._clock(),
+                repeat_left=attempt.retry_until - self._clock(),
                 begun=work.begun,
                 most_attempts=self._limits.max_attempts,
                 others_out=len(work.live) - (number in work.live),
                 second_copies=self._limits.second_copies,
-                server_listed=self._listed(attempt.host),
-                start_budget=not (late and attempt.cold)
-                or self._admits_late(self._clock(), work.id, number, attempt.host),
+                server_listed=self._listed(attempt.server),
+                start_budget=not (late and attempt.slow_start)
+                or self._admits_late(self._clock(), work.id, number, attempt.server),
             )
         )
         if verdict is not Verdict.ALLOWED:
-            ids = {"id": work.id, "attempt": number, "server": attempt.host}
+            ids = {"id": work.id, "attempt": number, "server": attempt.server}
             self._events.tell(Kind.ATTEMPT_NOT_WRITTEN, verdict.value, **ids)
         return verdict
 
@@ -81,7 +81,7 @@
         if broken is not None:
             told = payload[:MOST_TOLD]
             detail = (
-                f"request {work.id} attempt {attempt.tag[1]} server {attempt.host} left {left:.3f} {told!r}"
+                f"request {work.id} attempt {attempt.tag[1]} server {attempt.server} left {left:.3f} {told!r}"
             )
             MONITOR.violated(broken, detail)
 
@@ -96,8 +96,8 @@
             return Invariant.ATTEMPT_LIMIT
         if len(work.live) > 1 and not limits.second_copies:
             return Invariant.SECOND_ATTEMPT
-        if attempt.repeat_until < math.inf and self._clock() > attempt.repeat_until + HOLD_UP:
+        if attempt.retry_until < math.inf and self._clock() > attempt.retry_until + HOLD_UP:
             return Invariant.REPEAT_WINDOW
-        if not self._listed(attempt.host):
+        if not self._listed(attempt.server):
             return Invariant.SERVER_GONE
         return None
--- a/calicomast/net/counter.py
+++ b/calicomast/net/counter.py
@@ -12,7 +12,7 @@
 
 from calicomast.net.listing import Address
 
-LINES = 4  # connections, so that a part that is slow does not hold up the names of the others
+CONNECTION_COUNT = 4  # connections, so that a part that is slow does not hold up the names of the others
 KEEP_ALIVE = 2.0  # s without a call after which a `ping`, which costs nothing, keeps a connection open
 CHECK = 0.25  # s between looks for silent and idle connections
 SILENT, SILENT_CALLS = 0.5, 2.0  # s, or times a call's time-out, without an answer: the connection is dead
@@ -160,7 +160,7 @@
                 pause = BACKOFF_LEAST
 
 
-class Counter:
+class CounterClient:
     def __init__(self, address: Address, timeout: float) -> None:
         self.timeout, self.address = timeout, address
         self.lines: list[Line] = []
@@ -169,18 +169,18 @@
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        self.lines = [self.line() for _ in range(LINES)]
+        self.lines = [self.line() for _ in range(CONNECTION_COUNT)]
         self.task = asyncio.get_running_loop().create_task(self.checks())
 
     def line(self) -> Line:
         return Line(self.address, self.came_up, max(SILENT, SILENT_CALLS * self.timeout))
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """The counter is elsewhere. Each line is used until the one that replaces it is up."""
         self.address = address
         for line in self.next.values():
             line.close()
-        self.next = {place: self.line() for place in range(LINES)}
+        self.next = {place: self.line() for place in range(CONNECTION_COUNT)}
 
     def came_up(self, line: Line) -> None:
         for place in [place for place, new in self.next.items() if new is line]:
@@ -201,7 +201,7 @@
         loop = asyncio.get_running_loop()
         # One line a name keeps its answers in order. Another stands in while that one is being made again, as
         # it is after each answer that cannot be read.
-        place = name % LINES
+        place = name % CONNECTION_COUNT
         if any(line.write(call, text) for line in self.lines[place:] + self.lines[:place]):
             call.timer = loop.call_later(self.timeout, call.end, "timeout")
         else:
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -19,13 +19,13 @@
 from calicomast.net.clients import FAILED, ClientServer, Slot
 from calicomast.net.clock import Clock
 from calicomast.net.config import Config
-from calicomast.net.counter import Counter
+from calicomast.net.counter import CounterClient
 from calicomast.net.discovery import Discovery
 from calicomast.net.events import EventLog, Kind
-from calicomast.net.hosts import Attempt, Hosts
 from calicomast.net.lifecycle import ProcessState, RequestState, change
 from calicomast.net.listing import Listing
 from calicomast.net.requests import BadRequest, Work, bulk, check_form, read_request
+from calicomast.net.server_connections import Attempt, ServerConnections
 from calicomast.net.server_table import ServerTable
 from calicomast.policy import Gateway
 from calicomast.rules import (
@@ -76,12 +76,18 @@
         # Bodies in work and half commands are bounded: past the limit of memory the program is killed.
         self.most_held = max(LEAST_HELD, (config.memory - OWN_MEMORY) // 4)
         self.clients = ClientServer(self, room // 2, self.most_held, self.log)
-        self.servers = ServerTable(self.feed, lambda server: self.hosts.stop(server), self.clock.started)
-        self.hosts = Hosts(config.connect_timeout, config.idle_close, room // 2, self.servers.address)
+        self.servers = ServerTable(
+            self.feed, lambda server: self.hosts.stop_server(server), self.clock.started
+        )
+        self.hosts = ServerConnections(
+            config.connect_timeout, config.idle_close, room // 2, self.servers.address
+        )
         self.control = AttemptControl(
             config.settings, self.clock, self.servers.listed, self.admits_late, self.log
         )
-        self.counter = Counter(config.counter, self.settings.counter_timeout) if config.counter else None
+        self.counter = (
+            CounterClient(config.counter, self.settings.counter_timeout) if config.counter else None
+        )
         self.most_list = list_bound(config.memory)
         self.sources = 0  # discoveries that were named one after another
         self.discovery = self.new_discovery(config, config.known.version, held=bool(config.known.entries))
@@ -104,7 +110,7 @@
         """All but the listener: before the first client comes the module knows its hosts."""
         for _ in self.take_list(self.config.known):
             pass
-        self.hosts.start_checks()
+        self.hosts.start_idle_checks()
         if self.counter:
             self.counter.start()
         if self.settings.discovery == "push":
@@ -123,7 +129,7 @@
         if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
             log.warning("only new addresses of discovery and counter are taken up before the next start")
         if self.counter and config.counter:
-            self.counter.move(config.counter)
+            self.counter.change_address(config.counter)
         replaced = self.discovery
         self.discovery = self.new_discovery(config, replaced.version, held=False)
         if replaced.watching:  # the watch begins with the whole list: another service has versions of its own
@@ -195,7 +201,7 @@
             self.tell_end(Kind.REQUEST_FAILED, reason, work)
         self.finish(work, FAILED)
         for attempt in list(work.live.values()):
-            self.hosts.give_up(attempt, "cancelled")
+            self.hosts.cancel_attempt(attempt, "cancelled")
         self.feed(api.Gone(work.id))
 
     def take_list(self, listing: Listing, source: int = 0) -> Iterator[None]:
@@ -286,7 +292,7 @@
             work.slot.reply(answer)
         for attempt in list(work.live.values()):
             if not attempt.written:  # after the final answer nothing more is sent
-                self.hosts.give_up(attempt, "cancelled")
+                self.hosts.cancel_attempt(attempt, "cancelled")
         self.forget(work)
 
     def forget(self, work: Work) -> None:
@@ -320,7 +326,7 @@
         number = work.sends
         work.sends += 1
         attempt = Attempt(action.host, self.begin, self.attempt_done, (work, number))
-        attempt.repeat_until, attempt.cold = action.repeat_until, action.cold
+        attempt.retry_until, attempt.slow_start = action.repeat_until, action.cold
         verdict = self.control.judge(attempt, late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
@@ -328,10 +334,10 @@
             self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
             return
         work.live[number] = attempt
-        attempt.judged = True  # for as long as this step lasts
+        attempt.permitted = True  # for as long as this step lasts
         left = work.deadline - time.monotonic()
         self.hosts.send(attempt, min(left, action.timeout) if action.timeout > 0 else left)
-        attempt.judged = False
+        attempt.permitted = False
 
     def admits_late(self, now: float, id: str, number: int, server: str) -> bool:
         """Asks the module about an attempt at a cold server whose connection came up late."""
@@ -341,7 +347,7 @@
         """What goes to the server, worked out as its connection is there to be written to; None if it may not
         be sent any more."""
         work, _ = attempt.tag
-        if not attempt.judged:
+        if not attempt.permitted:
             verdict = self.control.judge(attempt, late=True)
             if verdict is not Verdict.ALLOWED:
                 if verdict is Verdict.CLIENT_GONE:
@@ -354,7 +360,7 @@
         result, over = attempt.result, work.over
         del work.live[number]
         if result != "ok":
-            ids = {"id": work.id, "attempt": number, "server": attempt.host, "state": work.state.value}
+            ids = {"id": work.id, "attempt": number, "server": attempt.server, "state": work.state.value}
             self.log.tell(Kind.ATTEMPT_ENDED, result, **ids)
         if over and (result == "connect_failed" or result in api.NEVER_BEGAN):
             result = "moot"  # called off before it was sent, which says nothing of the host
@@ -365,11 +371,11 @@
             api.Outcome(
                 work.id,
                 number,
-                attempt.host,
+                attempt.server,
                 result,
                 attempt.elapsed(),
                 work.over,
-                used=attempt.used,
+                used=attempt.quota_usage,
                 report=attempt.report,
             )
         )
@@ -377,13 +383,13 @@
     def cancel(self, action: api.Cancel) -> None:
         work = self.works.get(action.id)
         if work is not None and action.attempt in work.live:
-            self.hosts.give_up(work.live[action.attempt], "cancelled")
+            self.hosts.cancel_attempt(work.live[action.attempt], "cancelled")
 
     def probe(self, action: api.Probe) -> None:
         self.hosts.probe(action.host, self.probed)
 
     def probed(self, attempt: Attempt) -> None:
-        self.feed(api.Probed(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
+        self.feed(api.Probed(attempt.server, attempt.result, attempt.elapsed(), attempt.report))
 
     def count(self, action: api.Count) -> None:
         if self.counter is None:
--- a/calicomast/net/own_trouble.py
+++ b/calicomast/net/local_errors.py
@@ -7,7 +7,7 @@
 
 import errno
 
-OWN_TROUBLE = frozenset(
+LOCAL_ERRNOS = frozenset(
     (
         errno.EADDRNOTAVAIL,
         errno.EAGAIN,
@@ -23,6 +23,6 @@
 )
 
 
-def is_own_trouble(err: BaseException | None) -> bool:
+def is_local_error(err: BaseException | None) -> bool:
     """Whether an error tells of this machine."""
-    return isinstance(err, OSError) and err.errno in OWN_TROUBLE
+    return isinstance(err, OSError) and err.errno in LOCAL_ERRNOS
--- a/calicomast/net/program.py
+++ b/calicomast/net/program.py
@@ -16,7 +16,7 @@
 
 from calicomast.net.config import Config, ConfigError, config_steps, read_config
 from calicomast.net.gateway import GatewayNode
-from calicomast.net.own_trouble import is_own_trouble
+from calicomast.net.local_errors import is_local_error
 
 STEPS_AT_ONCE = 4  # of reading the configuration again
 MOST_LINES = 5  # of the log in a second
@@ -76,7 +76,7 @@
         try:
             return await node.listen()
         except OSError as err:
-            most = HINDERED if is_own_trouble(err) else IN_USE if err.errno == errno.EADDRINUSE else 0.0
+            most = HINDERED if is_local_error(err) else IN_USE if err.errno == errno.EADDRINUSE else 0.0
             if time.monotonic() > began + most:
                 raise
             reason = "in use" if err.errno == errno.EADDRINUSE else err.strerror
@@ -92,7 +92,7 @@
         try:
             return read_config(again=hangups.seen > 0)
         except ConfigError as err:
-            if not is_own_trouble(err.__cause__) or time.monotonic() > until:
+            if not is_local_error(err.__cause__) or time.monotonic() > until:
                 raise
             time.sleep(START_PAUSE)
 
--- a/calicomast/net/requests.py
+++ b/calicomast/net/requests.py
@@ -8,8 +8,8 @@
 from calicomast import interface as api
 from calicomast.net.clients import Slot
 from calicomast.net.framing import MOST_BODY
-from calicomast.net.hosts import Attempt
 from calicomast.net.lifecycle import RequestState, change
+from calicomast.net.server_connections import Attempt
 from calicomast.rules import time_told
 
 MOST_LEFT = 3600.0  # s; a client that says it will wait for longer is in error
--- a/calicomast/net/hosts.py
+++ b/calicomast/net/server_connections.py
@@ -22,10 +22,12 @@
 from calicomast.net.framing import MOST_BODY, NO_MESSAGE, Framing, FramingError
 from calicomast.net.lifecycle import AttemptState, ServerState, change
 from calicomast.net.listing import Address
-from calicomast.net.own_trouble import is_own_trouble
+from calicomast.net.local_errors import is_local_error
 from calicomast.settings import read_report
 
-REST = 0.02  # s after an answer in which what comes behind it can still show itself: some milliseconds late
+REUSE_DELAY = (
+    0.02  # s after an answer in which what comes behind it can still show itself: some milliseconds late
+)
 IDLE_MARGIN = 0.1  # part of the hosts' idle time by which a connection is closed before them
 IDLE_CHECK = 0.5  # s between looks for idle connections
 AGES = [0.02 * 1.5**k for k in range(18)]  # s; steps of the time that connections have rested, up to 20 s
@@ -34,7 +36,7 @@
 FADE = 30.0  # s after which half of what is known of rested connections is forgotten
 MOST_LOAD = 10_000.0  # of any figure in a load report; one beyond would spoil the means for long
 MOST_USED = 1_000_000  # percent of a customer's rate; more than that is no figure on use
-PROBE = object()  # the tag of an attempt that is a probe
+PROBE_TAG = object()  # the tag of an attempt that is a probe
 PROBE_COMMAND = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
 
 Report = dict[str, float]
@@ -48,42 +50,42 @@
     may not begin any more. `done` gets the attempt once, when `result` (of interface.RESULTS) is known.
 
     Attributes:
-        repeat_until: clock time by which it has to be written, as a repeat.
-        cold: whether the server has just started, so that a late write needs the module's leave.
-        judged: whether it was found in this same step that it may begin.
+        retry_until: clock time by which it has to be written, as a repeat.
+        slow_start: whether the server has just started, so that a late write needs the module's leave.
+        permitted: whether it was found in this same step that it may begin.
     """
 
     __slots__ = (
-        "host",
+        "server",
         "begin",
         "done",
         "tag",
         "started",
         "result",
         "value",
-        "used",
+        "quota_usage",
         "report",
         "conn",
         "timer",
         "state",
-        "repeat_until",
-        "cold",
-        "judged",
+        "retry_until",
+        "slow_start",
+        "permitted",
     )
 
     def __init__(
         self,
-        host: str,
+        server: str,
         begin: Callable[[Attempt], bytes | None],
         done: Callable[[Attempt], None],
         tag: Any = None,
     ) -> None:
-        self.host, self.begin, self.done, self.tag, self.started = host, begin, done, tag, monotonic()
+        self.server, self.begin, self.done, self.tag, self.started = server, begin, done, tag, monotonic()
         self.state = AttemptState.WAITING
-        self.repeat_until, self.cold, self.judged = math.inf, False, False
+        self.retry_until, self.slow_start, self.permitted = math.inf, False, False
         self.result = ""
         self.value = b""
-        self.used = 0
+        self.quota_usage = 0
         self.report: Report = {}
         self.conn: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -95,7 +97,7 @@
         if self.result:
             return
         self.result = result
-        self.state = change(self.state, AttemptState.ENDED, self.host)
+        self.state = change(self.state, AttemptState.ENDED, self.server)
         if self.timer is not None:
             self.timer.cancel()
         self.done(self)
@@ -157,7 +159,7 @@
 
 
 class Connection(asyncio.Protocol):
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.framing = Framing()
         self.state = ServerState.CONNECTING
@@ -209,8 +211,8 @@
         payload = attempt.begin(attempt)
         if payload is None:
             return False
-        self.state = change(self.state, ServerState.BUSY, attempt.host)
-        attempt.state = change(attempt.state, AttemptState.RUNNING, attempt.host)
+        self.state = change(self.state, ServerState.BUSY, attempt.server)
+        attempt.state = change(attempt.state, AttemptState.RUNNING, attempt.server)
         self.attempt, attempt.conn = attempt, self
         self.rested, self.heard = monotonic() - self.idle_since if self.idle_since else 0.0, False
         self.transport.write(payload)
@@ -267,36 +269,36 @@
 def read_reply(attempt: Attempt, reply: object) -> str:
     """Fills in what the answer says and tells the outcome. What no host would say is spoilt: it may have run,
     and serving anything for it would be made up."""
-    if isinstance(reply, list) and attempt.tag is not PROBE:
+    if isinstance(reply, list) and attempt.tag is not PROBE_TAG:
         if len(reply) != 3 or not isinstance(reply[0], bytes) or len(reply[0]) > MOST_BODY:
             raise FramingError("no value of a host")
         attempt.value = reply[0]
         if isinstance(reply[1], int) and 0 <= reply[1] <= MOST_USED:
-            attempt.used = reply[1]
+            attempt.quota_usage = reply[1]
         attempt.report = parse_report(reply[2])
         return "ok"
     if isinstance(reply, hiredis.ReplyError):
         words = str(reply).split(" ")
         attempt.report = parse_report(words[-1])
         return "full" if words[0] == "BUSY" else "error"
-    if isinstance(reply, bytes) and attempt.tag is PROBE:
+    if isinstance(reply, bytes) and attempt.tag is PROBE_TAG:
         attempt.report = parse_report(reply)
         return "ok"
     raise FramingError("no answer of a host")
 
 
-class Pool:
+class ConnectionPool:
     """The connections to one host: those that rest, the latest used last, and those that are coming up."""
 
-    def __init__(self, hosts: Hosts, address: Address) -> None:
+    def __init__(self, hosts: ServerConnections, address: Address) -> None:
         self.hosts, self.address, self.up = hosts, address, True
         self.idle: list[Connection] = []
         self.open = 0  # connections, those that rest among them
-        self.coming: dict[Attempt, asyncio.Task[None]] = {}
+        self.connecting: dict[Attempt, asyncio.Task[None]] = {}
 
     def start(self, attempt: Attempt) -> None:
         now = monotonic()
-        latest, first = now - REST, now - self.hosts.staleness.limit
+        latest, first = now - REUSE_DELAY, now - self.hosts.staleness.limit
         for conn in [conn for conn in reversed(self.idle) if first < conn.idle_since <= latest]:
             if conn.quiet():
                 self.idle.remove(conn)
@@ -308,7 +310,7 @@
         if not self.hosts.room():
             asyncio.get_running_loop().call_soon(attempt.end, "unsent")
             return
-        self.coming[attempt] = asyncio.get_running_loop().create_task(self.connect(attempt))
+        self.connecting[attempt] = asyncio.get_running_loop().create_task(self.connect(attempt))
 
     async def connect(self, attempt: Attempt) -> None:
         loop = asyncio.get_running_loop()
@@ -318,10 +320,10 @@
             async with asyncio.timeout(self.hosts.connect_timeout):
                 _, conn = await loop.create_connection(lambda: Connection(self), *self.address)
         except (OSError, ValueError) as err:  # refused, out of time or descriptors, or no address at all
-            if is_own_trouble(err):
+            if is_local_error(err):
                 result = "unsent"
         finally:
-            waiting = self.coming.pop(attempt, None) is not None
+            waiting = self.connecting.pop(attempt, None) is not None
         if conn is not None:
             self.hosts.conns.add(conn)
             self.open += 1
@@ -357,13 +359,13 @@
         """Nothing new goes to this address, nor what still waits for a connection to it."""
         self.up = False
         self.close_idle()
-        for attempt, task in list(self.coming.items()):
-            del self.coming[attempt]
+        for attempt, task in list(self.connecting.items()):
+            del self.connecting[attempt]
             task.cancel()
             attempt.end("connect_failed")
 
 
-class Hosts:
+class ServerConnections:
     """Connections to those hosts that this gateway sends to; of the others nothing is kept here. `address_of`
     tells where a host listens now, and None for one that nothing is to be sent to."""
 
@@ -377,18 +379,18 @@
         self.connect_timeout, self.most, self.address_of = connect_timeout, most, address_of
         self.idle_time = idle_close * (1 - IDLE_MARGIN) - IDLE_CHECK
         self.staleness = Staleness()  # over all hosts: what drops connections seldom lies at one of them
-        self.pools: dict[str, Pool] = {}
+        self.pools: dict[str, ConnectionPool] = {}
         self.conns: set[Connection] = set()
         self.check: asyncio.TimerHandle | None = None
 
-    def pool(self, host: str) -> Pool | None:
+    def pool_for(self, host: str) -> ConnectionPool | None:
         """The connections to a host; None where nothing is to be sent to it."""
         pool = self.pools.get(host)
         if pool is None and (address := self.address_of(host)) is not None:
-            pool = self.pools[host] = Pool(self, address)
+            pool = self.pools[host] = ConnectionPool(self, address)
         return pool
 
-    def stop(self, host: str) -> None:
+    def stop_server(self, host: str) -> None:
         """Nothing new goes to the host, or to where it was until now."""
         pool = self.pools.pop(host, None)
         if pool is not None:
@@ -396,24 +398,24 @@
 
     def send(self, attempt: Attempt, timeout: float) -> None:
         loop = asyncio.get_running_loop()
-        pool = self.pool(attempt.host)
+        pool = self.pool_for(attempt.server)
         if pool is None:
             loop.call_soon(attempt.end, "connect_failed")
             return
-        attempt.timer = loop.call_later(timeout, self.give_up, attempt, "timeout")
+        attempt.timer = loop.call_later(timeout, self.cancel_attempt, attempt, "timeout")
         pool.start(attempt)
 
     def probe(self, host: str, done: Callable[[Attempt], None]) -> None:
-        self.send(Attempt(host, lambda attempt: PROBE_COMMAND, done, PROBE), self.connect_timeout)
+        self.send(Attempt(host, lambda attempt: PROBE_COMMAND, done, PROBE_TAG), self.connect_timeout)
 
-    def give_up(self, attempt: Attempt, result: str) -> None:
+    def cancel_attempt(self, attempt: Attempt, result: str) -> None:
         """Stops waiting. The connection goes too: a late answer must not meet the next request on it."""
         if attempt.result:
             return
         conn = attempt.conn
         if conn is None:
-            pool = self.pools.get(attempt.host)
-            task = pool.coming.pop(attempt, None) if pool else None
+            pool = self.pools.get(attempt.server)
+            task = pool.connecting.pop(attempt, None) if pool else None
             if task is not None:
                 task.cancel()
             attempt.end("connect_failed")
@@ -428,7 +430,7 @@
     def open(self) -> int:
         """Connections, those that are coming up among them. Counted, not kept: a task that is cancelled
         before its first step could not take itself off again."""
-        return len(self.conns) + sum(len(pool.coming) for pool in self.pools.values())
+        return len(self.conns) + sum(len(pool.connecting) for pool in self.pools.values())
 
     def room(self) -> bool:
         if self.open < self.most:
@@ -453,12 +455,12 @@
         for host, pool in list(self.pools.items()):
             if pool.idle and pool.idle[0].idle_since < before:
                 pool.close_idle(before)
-            if not pool.open and not pool.coming:
+            if not pool.open and not pool.connecting:
                 del self.pools[host]
 
-    def start_checks(self) -> None:
+    def start_idle_checks(self) -> None:
         self.close_stale()
-        self.check = asyncio.get_running_loop().call_later(IDLE_CHECK, self.start_checks)
+        self.check = asyncio.get_running_loop().call_later(IDLE_CHECK, self.start_idle_checks)
 
     def close(self) -> None:
         if self.check is not None:
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -13,7 +13,16 @@
 from typing import Any
 
 from calicomast import admission, quota, servers
-from calicomast.net import clients, discovery, gateway, hosts, invariants, program, requests, server_table
+from calicomast.net import (
+    clients,
+    discovery,
+    gateway,
+    invariants,
+    program,
+    requests,
+    server_connections,
+    server_table,
+)
 from calicomast.net.__main__ import Hangups
 
 LATE = 0.4  # seconds by which an attempt is held back where its client may have left
@@ -59,29 +68,33 @@
 
 def hold_back(seconds: float) -> None:
     """Attempts go out late, and nobody asks again whether they may."""
-    send = hosts.Hosts.send
+    send = server_connections.ServerConnections.send
 
-    def late(self: hosts.Hosts, attempt: hosts.Attempt, timeout: float) -> None:
+    def late(
+        self: server_connections.ServerConnections, attempt: server_connections.Attempt, timeout: float
+    ) -> None:
         def go() -> None:
             if not attempt.result:
-                attempt.judged = True
+                attempt.permitted = True
                 send(self, attempt, timeout)
 
         later(seconds, go)
 
-    hosts.Hosts.send = late  # type: ignore[method-assign]
+    server_connections.ServerConnections.send = late  # type: ignore[method-assign]
 
 
 def send_again(seconds: float) -> None:
     """What was served goes to its server once more after so many seconds."""
     done = gateway.GatewayNode.attempt_done
 
-    def again(node: gateway.GatewayNode, attempt: hosts.Attempt) -> None:
+    def again(node: gateway.GatewayNode, attempt: server_connections.Attempt) -> None:
         work, _ = attempt.tag
         done(node, attempt)
         if attempt.result == "ok":
             payload = work.payload(1.0)
-            second = hosts.Attempt(attempt.host, lambda _: payload, lambda _: None, hosts.PROBE)
+            second = server_connections.Attempt(
+                attempt.server, lambda _: payload, lambda _: None, server_connections.PROBE_TAG
+            )
             later(seconds, node.hosts.send, second, 1.0)
 
     gateway.GatewayNode.attempt_done = again  # type: ignore[method-assign]
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -6,7 +6,7 @@
 from netkit import SERVED, SETTINGS, Node, StubCounter, StubHost, command, on_loop, terms
 
 from calicomast.net import counter as calls
-from calicomast.net.counter import LINES
+from calicomast.net.counter import CONNECTION_COUNT
 
 
 @on_loop
@@ -37,7 +37,9 @@
         def add():
             counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
 
-        while len(node.counter.writers) < LINES or any(line.transport is None for line in counter.lines):
+        while len(node.counter.writers) < CONNECTION_COUNT or any(
+            line.transport is None for line in counter.lines
+        ):
             await asyncio.sleep(0)
         node.counter.silent = True
         add()
@@ -92,8 +94,8 @@
         old, node.counter.silent = list(counter.lines), True
         add(1)
         await node.counter.arrived.get()
-        counter.move(("127.0.0.1", new.port))
-        counter.move(("127.0.0.1", new.port))  # twice in a row does no harm
+        counter.change_address(("127.0.0.1", new.port))
+        counter.change_address(("127.0.0.1", new.port))  # twice in a row does no harm
         while counter.next:
             await asyncio.sleep(0.001)
         add(5)
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -116,8 +116,8 @@
 
         node.node.module = Sender()
         asked = asyncio.create_task(node.ask(command()))
-        pool = node.node.hosts.pool("h1")
-        while not pool.coming:  # the attempt waits for its connection
+        pool = node.node.hosts.pool_for("h1")
+        while not pool.connecting:  # the attempt waits for its connection
             await asyncio.sleep(0)
         seen.clear()
         drains = {"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -23,7 +23,7 @@
 )
 
 from calicomast import interface as api
-from calicomast.net import clients, gateway, hosts
+from calicomast.net import clients, gateway, server_connections
 from calicomast.net.requests import read_request
 
 
@@ -265,7 +265,7 @@
         node.node.module = module = Held()
         work = await left_unread(node)
         node.node.send(api.Send(work.id, "h1"))
-        assert work.over and not work.live and not node.node.hosts.pool("h1").coming
+        assert work.over and not work.live and not node.node.hosts.pool_for("h1").connecting
         (ended,) = [e for e in module.seen if isinstance(e, api.Outcome)]
         assert (ended.id, ended.attempt, ended.result, ended.final) == (work.id, 0, "moot", True)
         assert not node.node.works
@@ -295,16 +295,16 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
 
         async def begun():
-            assert node.node.hosts.pool("h1").coming
+            assert node.node.hosts.pool_for("h1").connecting
 
         work = await left_unread(node, begun)
-        pool = node.node.hosts.pool("h1")
-        assert pool.coming
-        while pool.coming:
+        pool = node.node.hosts.pool_for("h1")
+        assert pool.connecting
+        while pool.connecting:
             await asyncio.sleep(0)
         assert work.over and not work.live and not host.commands
         assert len(pool.idle) == 1 and not node.node.module.fleet.out  # the connection serves the next one
-        await asyncio.sleep(2 * hosts.REST)  # timers may come up to a millisecond early
+        await asyncio.sleep(2 * server_connections.REUSE_DELAY)  # timers may come up to a millisecond early
         assert await node.ask(command(b"r2")) == SERVED
         assert len(host.writers) == 1
 
@@ -363,7 +363,7 @@
             while "h2" not in node.node.servers.entries:
                 await asyncio.sleep(0.01)
             first.writers[0].close()  # it may have run: its repeat has a window
-            while not (pool := node.node.hosts.pools.get("h2")) or not pool.coming:
+            while not (pool := node.node.hosts.pools.get("h2")) or not pool.connecting:
                 await asyncio.sleep(0.01)
             await late.make_room()
             assert (await asked).startswith(b"-ERR")
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -15,7 +15,7 @@
 import pytest
 from netkit import SERVED, StubCounter, StubDiscovery, StubHost, command, entry, on_loop, read_reply, told
 
-from calicomast.net.counter import LINES
+from calicomast.net.counter import CONNECTION_COUNT
 from calicomast.net.listing import PIECE
 from calicomast.net.program import STEPS_AT_ONCE, Reloader
 
@@ -123,7 +123,7 @@
         program.send_signal(signal.SIGHUP)
         assert "index" not in await discovery2.calls.get()  # the environment names the old one still
         assert "index" in await discovery2.calls.get()
-        while len(counter2.writers) < LINES:
+        while len(counter2.writers) < CONNECTION_COUNT:
             await asyncio.sleep(0.01)
         for n in range(4):
             reader2, writer2 = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_net_hosts.py
+++ b/tests/test_net_server_connections.py
@@ -12,8 +12,8 @@
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, terms, write
 
 from calicomast import interface as api
-from calicomast.net import hosts
-from calicomast.net.hosts import Attempt
+from calicomast.net import server_connections
+from calicomast.net.server_connections import Attempt
 
 
 @on_loop
@@ -125,17 +125,17 @@
 
 @on_loop
 async def test_one_connection_is_used_again_and_closed_before_the_host_would(tmp_path, monkeypatch):
-    monkeypatch.setattr(hosts, "REST", 0.0)
+    monkeypatch.setattr(server_connections, "REUSE_DELAY", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for n in range(3):
             assert await node.ask(command(b"r%d" % n)) == SERVED
         assert len(host.writers) == 1
-        (conn,) = node.node.hosts.pool("h1").idle
+        (conn,) = node.node.hosts.pool_for("h1").idle
         node.node.hosts.close_stale()
-        assert node.node.hosts.pool("h1").idle == [conn]
+        assert node.node.hosts.pool_for("h1").idle == [conn]
         conn.idle_since -= 28.0  # of the 30 s after which the host would close it
         node.node.hosts.close_stale()
-        assert node.node.hosts.pool("h1").idle == []
+        assert node.node.hosts.pool_for("h1").idle == []
         while await host.arrived.get() is not None:
             pass
 
@@ -182,7 +182,7 @@
         for _ in range(5):
             attempt = Attempt("h1", lambda attempt: command(), lambda attempt: None)
             hosts.send(attempt, 3.0)
-            hosts.give_up(attempt, "cancelled")
+            hosts.cancel_attempt(attempt, "cancelled")
             assert attempt.result == "connect_failed"
         assert await node.ask(command()) == SERVED
         assert len(host.commands) == 1
@@ -214,7 +214,7 @@
 async def test_a_second_answer_some_milliseconds_late_is_not_the_next_one(tmp_path, monkeypatch):
     """Nothing is to be read when the next request goes off, and on its connection it would come next."""
     now = time.monotonic()
-    monkeypatch.setattr(hosts, "monotonic", lambda: now)
+    monkeypatch.setattr(server_connections, "monotonic", lambda: now)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
 
         async def ask(name):
@@ -238,7 +238,7 @@
 async def test_a_connection_is_looked_at_before_it_is_used_again(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command(b"a")) == SERVED
-        pool = node.node.hosts.pool("h1")
+        pool = node.node.hosts.pool_for("h1")
         (conn,) = pool.idle
         conn.idle_since -= 1.0
         assert conn.quiet()
@@ -255,7 +255,7 @@
 async def test_an_answer_that_cannot_be_handled_ends_its_attempt(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         with monkeypatch.context() as patch:
-            patch.setattr("calicomast.net.hosts.read_reply", lambda *_: 1 / 0)
+            patch.setattr("calicomast.net.server_connections.read_reply", lambda *_: 1 / 0)
             assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
         assert not node.node.hosts.conns
         assert await node.ask(command(b"r2")) == SERVED
@@ -274,7 +274,7 @@
             def is_closing(self):
                 return False
 
-        conn = hosts.Connection(node.node.hosts.pool("h1"))
+        conn = server_connections.Connection(node.node.hosts.pool_for("h1"))
         conn.connection_made(Transport({"socket": ours}))
         assert conn.quiet()
         del conn
@@ -325,7 +325,7 @@
 
 
 def test_resets_that_come_by_chance_close_no_connections():
-    staleness = hosts.Staleness()
+    staleness = server_connections.Staleness()
     for n in range(400):
         lost = n % 11 == 0
         staleness.note(0.0, lost)
@@ -334,7 +334,7 @@
 
 
 def test_a_limit_of_rest_is_tried_again_in_time():
-    staleness = hosts.Staleness()
+    staleness = server_connections.Staleness()
     for n in range(60):
         staleness.note(0.3, False)
         staleness.note(0.9 + n % 5, n % 2 == 0)
@@ -383,7 +383,7 @@
 
 @on_loop
 async def test_a_reset_between_the_look_and_the_write_never_ran(tmp_path, monkeypatch):
-    monkeypatch.setattr(hosts, "REST", 0.0)
+    monkeypatch.setattr(server_connections, "REUSE_DELAY", 0.0)
     raw, loop = RawHost(), asyncio.get_running_loop()
     async with StubHost() as other, Node(raw, other, path=tmp_path) as node:
         node.node.module = module = first("h1")
@@ -392,14 +392,14 @@
         await loop.sock_recv(conn, 65536)
         await loop.sock_sendall(conn, VALUE)
         assert await asked == SERVED
-        look = hosts.Connection.quiet
+        look = server_connections.Connection.quiet
 
         def crossed(self):
             quiet = look(self)
             raw.reset(conn)
             return quiet
 
-        monkeypatch.setattr(hosts.Connection, "quiet", crossed)
+        monkeypatch.setattr(server_connections.Connection, "quiet", crossed)
         assert await node.ask(write(cls=b"note")) == SERVED
         assert module.results == ["connect_failed"] and len(other.commands) == 1
 
@@ -409,14 +409,14 @@
 )
 @on_loop
 async def test_a_request_may_have_run_from_its_last_byte_on(read, result, answer, tmp_path, monkeypatch):
-    made = hosts.Connection.connection_made
+    made = server_connections.Connection.connection_made
 
     def narrow(self, transport):
         made(self, transport)
         with self.borrowed() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
-    monkeypatch.setattr(hosts.Connection, "connection_made", narrow)
+    monkeypatch.setattr(server_connections.Connection, "connection_made", narrow)
     raw, loop = RawHost(receive=4096), asyncio.get_running_loop()
     async with StubHost() as other, Node(raw, other, path=tmp_path) as node:
         node.node.module = module = first("h1")
