--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -19,19 +19,16 @@
 from calicomast.net.clients import FAILED, ClientServer, Slot
 from calicomast.net.clock import Clock
 from calicomast.net.config import Config
-from calicomast.net.counter import Counter
+from calicomast.net.counter import CounterClient
 from calicomast.net.discovery import DiscoveryClient
 from calicomast.net.events import EventLog, Kind
-from calicomast.net.hosts import Attempt, Hosts
 from calicomast.net.lifecycle import ProcessState, RequestState, change
 from calicomast.net.requests import BadRequest, Work, bulk, check_form, read_request
+from calicomast.net.server_connections import Attempt, ServerConnections
 from calicomast.net.server_list import ServerList
 from calicomast.net.server_table import ServerTable
 from calicomast.policy import Gateway
-from calicomast.rules import (
-    Verdict,
-    may_take_request,
-)
+from calicomast.rules import Verdict, may_take_request
 
 RESPONSE_MARGIN = 0.03  # s before the client gives up by which the module is to be done
 # s after it for which an answer is still worth nothing but is one; later the request is lost
@@ -80,15 +77,17 @@
         self.most_held = max(LEAST_HELD, (config.memory - BASE_MEMORY_BYTES) // 4)
         self.clients = ClientServer(self, room // 2, self.most_held, self.event_log)
         self.server_table = ServerTable(
-            self.feed, lambda server: self.server_connections.stop(server), self.clock.local_start_time
+            self.feed, lambda server: self.server_connections.stop_server(server), self.clock.local_start_time
         )
-        self.server_connections = Hosts(
+        self.server_connections = ServerConnections(
             config.connect_timeout, config.idle_close, room // 2, self.server_table.address_of
         )
         self.control = AttemptControl(
             config.settings, self.clock, self.server_table.is_available, self.admits_late, self.event_log
         )
-        self.counter = Counter(config.counter, self.settings.counter_timeout) if config.counter else None
+        self.counter = (
+            CounterClient(config.counter, self.settings.counter_timeout) if config.counter else None
+        )
         self.max_server_list_bytes = max_server_list_bytes(config.memory)
         self.discovery_generation = 0  # discoveries that were named one after another
         self.discovery = self.new_discovery(config, config.known.version, held=bool(config.known.entries))
@@ -111,7 +110,7 @@
         """All but the listener: before the first client comes the module knows its hosts."""
         for _ in self.apply_server_list(self.config.known):
             pass
-        self.server_connections.start_checks()
+        self.server_connections.start_idle_checks()
         if self.counter:
             self.counter.start()
         if self.settings.discovery == "push":
@@ -130,7 +129,7 @@
         if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
             log.warning("only new addresses of discovery and counter are taken up before the next start")
         if self.counter and config.counter:
-            self.counter.move(config.counter)
+            self.counter.change_address(config.counter)
         replaced = self.discovery
         self.discovery = self.new_discovery(config, replaced.version, held=False)
         if replaced.watch_task:  # the watch begins with the whole list: another service has its own versions
@@ -202,7 +201,7 @@
             self.tell_end(Kind.REQUEST_FAILED, reason, work)
         self.finish_request(work, FAILED)
         for attempt in list(work.live.values()):
-            self.server_connections.give_up(attempt, "cancelled")
+            self.server_connections.cancel_attempt(attempt, "cancelled")
         self.feed(api.Gone(work.id))
 
     def apply_server_list(self, listing: ServerList, source: int = 0) -> Iterator[None]:
@@ -298,7 +297,7 @@
             work.slot.reply(answer)
         for attempt in list(work.live.values()):
             if not attempt.written:  # after the final answer nothing more is sent
-                self.server_connections.give_up(attempt, "cancelled")
+                self.server_connections.cancel_attempt(attempt, "cancelled")
         self.forget(work)
 
     def forget(self, work: Work) -> None:
@@ -332,7 +331,7 @@
         number = work.sends
         work.sends += 1
         attempt = Attempt(action.host, self.prepare_payload, self.attempt_done, (work, number))
-        attempt.repeat_until, attempt.cold = action.repeat_until, action.cold
+        attempt.retry_until, attempt.slow_start = action.repeat_until, action.cold
         verdict = self.control.judge(attempt, late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
@@ -340,10 +339,10 @@
             self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
             return
         work.live[number] = attempt
-        attempt.judged = True  # for as long as this step lasts
+        attempt.permitted = True  # for as long as this step lasts
         left = work.deadline - time.monotonic()
         self.server_connections.send(attempt, min(left, action.timeout) if action.timeout > 0 else left)
-        attempt.judged = False
+        attempt.permitted = False
 
     def admits_late(self, now: float, id: str, number: int, server: str) -> bool:
         """Asks the module about an attempt at a cold server whose connection came up late."""
@@ -353,7 +352,7 @@
         """What goes to the server, worked out as its connection is there to be written to; None if it may not
         be sent any more."""
         work, _ = attempt.tag
-        if not attempt.judged:
+        if not attempt.permitted:
             verdict = self.control.judge(attempt, late=True)
             if verdict is not Verdict.ALLOWED:
                 if verdict is Verdict.CLIENT_GONE:
@@ -366,7 +365,7 @@
         result, over = attempt.result, work.over
         del work.live[number]
         if result != "ok":
-            ids = {"id": work.id, "attempt": number, "server": attempt.host, "state": work.state.value}
+            ids = {"id": work.id, "attempt": number, "server": attempt.server, "state": work.state.value}
             self.event_log.tell(Kind.ATTEMPT_ENDED, result, **ids)
         if over and (result == "connect_failed" or result in api.NEVER_BEGAN):
             result = "moot"  # called off before it was sent, which says nothing of the host
@@ -377,11 +376,11 @@
             api.Outcome(
                 work.id,
                 number,
-                attempt.host,
+                attempt.server,
                 result,
                 attempt.elapsed(),
                 work.over,
-                used=attempt.used,
+                used=attempt.quota_usage,
                 report=attempt.report,
             )
         )
@@ -389,13 +388,13 @@
     def cancel(self, action: api.Cancel) -> None:
         work = self.active_requests.get(action.id)
         if work is not None and action.attempt in work.live:
-            self.server_connections.give_up(work.live[action.attempt], "cancelled")
+            self.server_connections.cancel_attempt(work.live[action.attempt], "cancelled")
 
     def probe(self, action: api.Probe) -> None:
         self.server_connections.probe(action.host, self.probed)
 
     def probed(self, attempt: Attempt) -> None:
-        self.feed(api.Probed(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
+        self.feed(api.Probed(attempt.server, attempt.result, attempt.elapsed(), attempt.report))
 
     def count(self, action: api.Count) -> None:
         if self.counter is None:
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -126,8 +126,8 @@
 
         node.service.policy = Sender()
         asked = asyncio.create_task(node.send_command(command()))
-        pool = node.service.server_connections.pool("h1")
-        while not pool.coming:  # the attempt waits for its connection
+        pool = node.service.server_connections.pool_for("h1")
+        while not pool.connecting:  # the attempt waits for its connection
             await asyncio.sleep(0)
         seen.clear()
         drains = {"version": 2, "full": False, "servers": [server_entry(host, "h1", "draining")]}
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -25,7 +25,7 @@
     server_entry,
 )
 
-from calicomast.net.counter import LINES
+from calicomast.net.counter import CONNECTION_COUNT
 from calicomast.net.program import STEPS_PER_TURN, Reloader
 from calicomast.net.server_list import CHUNK_BYTES
 
@@ -139,7 +139,7 @@
         program.send_signal(signal.SIGHUP)
         assert "index" not in await discovery2.calls.get()  # the environment names the old one still
         assert "index" in await discovery2.calls.get()
-        while len(counter2.writers) < LINES:
+        while len(counter2.writers) < CONNECTION_COUNT:
             await asyncio.sleep(0.01)
         for n in range(4):
             reader2, writer2 = await asyncio.open_connection("127.0.0.1", port)
