--- a/calicomast/net/attempts.py
+++ b/calicomast/net/attempts.py
@@ -12,10 +12,10 @@
 
 from calicomast import interface as api
 from calicomast.net.clock import Clock
-from calicomast.net.events import EventLog, Kind
+from calicomast.net.events import EventKind, EventLog
 from calicomast.net.hosts import Attempt
 from calicomast.net.invariants import MONITOR, Invariant
-from calicomast.net.requests import Work
+from calicomast.net.requests import ActiveRequest
 from calicomast.rules import HOLD_UP, AttemptFacts, Verdict, may_write_attempt
 
 TIME_TOLD = re.compile(rb"[\n,]d=([0-9]+)")  # in a command on the wire
@@ -43,39 +43,39 @@
         self._limits, self._clock, self._listed = settings.limits, clock, listed
         self._admits_late, self._events = admits_late, events
 
-    def judge(self, attempt: Attempt, late: bool) -> Verdict:
-        """Whether an attempt may be written now. `late`: its connection came up only now."""
+    def may_write(self, attempt: Attempt, connected_late: bool) -> Verdict:
+        """Whether an attempt may be written now. `connected_late`: its connection came up only now."""
         work, number = attempt.tag
         verdict = may_write_attempt(
             AttemptFacts(
-                finished=work.over,
-                client_gone=not work.over and work.slot.client.has_left(),
+                finished=work.finished,
+                client_gone=not work.finished and work.slot.connection.peer_has_closed(),
                 left=work.deadline - monotonic(),
                 repeat_left=attempt.repeat_until - self._clock(),
-                begun=work.begun,
+                begun=work.attempts_written,
                 most_attempts=self._limits.max_attempts,
-                others_out=len(work.live) - (number in work.live),
+                others_out=len(work.active_attempts) - (number in work.active_attempts),
                 second_copies=self._limits.second_copies,
                 server_listed=self._listed(attempt.host),
-                start_budget=not (late and attempt.cold)
+                start_budget=not (connected_late and attempt.cold)
                 or self._admits_late(self._clock(), work.id, number, attempt.host),
             )
         )
         if verdict is not Verdict.ALLOWED:
             ids = {"id": work.id, "attempt": number, "server": attempt.host}
-            self._events.tell(Kind.ATTEMPT_NOT_WRITTEN, verdict.value, **ids)
+            self._events.log(EventKind.ATTEMPT_NOT_WRITTEN, verdict.value, **ids)
         return verdict
 
-    def write(self, attempt: Attempt) -> bytes:
+    def prepare_write(self, attempt: Attempt) -> bytes:
         """What goes to the server; it counts as begun."""
         work, _ = attempt.tag
-        work.begun += 1
+        work.attempts_written += 1
         left = work.deadline - monotonic()
-        payload = work.payload(left)
+        payload = work.encode_command(left)
         self._check(attempt, work, payload, left)
         return payload
 
-    def _check(self, attempt: Attempt, work: Work, payload: bytes, left: float) -> None:
+    def _check(self, attempt: Attempt, work: ActiveRequest, payload: bytes, left: float) -> None:
         """The rules once more, from what goes on the wire; `left`: seconds until the module's deadline."""
         broken = self._broken(attempt, work, payload, left)
         if broken is not None:
@@ -83,18 +83,18 @@
             detail = (
                 f"request {work.id} attempt {attempt.tag[1]} server {attempt.host} left {left:.3f} {told!r}"
             )
-            MONITOR.violated(broken, detail)
+            MONITOR.record_violation(broken, detail)
 
-    def _broken(self, attempt: Attempt, work: Work, payload: bytes, left: float) -> Invariant | None:
+    def _broken(self, attempt: Attempt, work: ActiveRequest, payload: bytes, left: float) -> Invariant | None:
         """The invariant that does not hold, if one does not."""
         limits, told = self._limits, TIME_TOLD.search(payload)
         if told is None or int(told[1]) / MILLISECONDS > max(left, 0.0) + HOLD_UP:
             return Invariant.DEADLINE_TOLD
-        if work.over:
+        if work.finished:
             return Invariant.ATTEMPT_AFTER_ANSWER
-        if work.begun > limits.max_attempts:
+        if work.attempts_written > limits.max_attempts:
             return Invariant.ATTEMPT_LIMIT
-        if len(work.live) > 1 and not limits.second_copies:
+        if len(work.active_attempts) > 1 and not limits.second_copies:
             return Invariant.SECOND_ATTEMPT
         if attempt.repeat_until < math.inf and self._clock() > attempt.repeat_until + HOLD_UP:
             return Invariant.REPEAT_WINDOW
--- a/calicomast/net/discovery.py
+++ b/calicomast/net/discovery.py
@@ -9,7 +9,7 @@
 from contextlib import aclosing
 
 from calicomast.net.http import HttpConnection, StatusError
-from calicomast.net.lifecycle import CallState, change
+from calicomast.net.lifecycle import DiscoveryCallState, transition
 from calicomast.net.listing import Address, Entry, Listing, ListReader
 
 # What discovery has and would give counts as told 6 s later, whatever became of the calls made till then. So
@@ -34,14 +34,14 @@
 
     def __init__(self, number: int, now: float, longest: float) -> None:
         self.number, self.began, self.longest = number, now, longest
-        self.state = CallState.ASKED
+        self.state = DiscoveryCallState.REQUESTED
         self.moved_at = now  # when it last got on: an answer began, came in or was taken over
         self.size = 0  # bytes of its answer so far
         self.task: asyncio.Task[bool] | None = None
 
-    def become(self, state: CallState) -> None:
+    def become(self, state: DiscoveryCallState) -> None:
         """Changes its state."""
-        self.state = change(self.state, state, self.number)
+        self.state = transition(self.state, state, self.number)
 
     def moved(self, now: float) -> None:
         """It got on, which keeps other calls from being made for `longest` seconds."""
@@ -140,7 +140,7 @@
                 return 0  # overtaken by one that began after it
             if call.number > self.heard and listing.mode == "delta" and version < self.version:
                 raise ValueError("changes to an older list than the last")  # they may bring back what is gone
-            call.become(CallState.APPLYING)
+            call.become(DiscoveryCallState.APPLYING)
             for _ in self.told(listing) or ():
                 await self.let_others_run(call)
             self.version, self.held, self.heard = version, True, self.began
@@ -179,7 +179,7 @@
         """A call is over, however it ended."""
         call = self.calls.pop(task, None)
         if call is not None:
-            call.become(CallState.ENDED)
+            call.become(DiscoveryCallState.ENDED)
 
     async def answered(self, call: Call, patience: float) -> bool:
         """Waits for a call to end, or for so many seconds in which it does not get on; whether it ended."""
--- a/calicomast/net/events.py
+++ b/calicomast/net/events.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 
-class Kind(Enum):
+class EventKind(Enum):
     """What ended or failed."""
 
     CLIENT_CLOSED = "client_closed"
@@ -36,14 +36,14 @@
     """The counts of one gateway."""
 
     def __init__(self) -> None:
-        self.counts: Counter[tuple[Kind, str]] = Counter()
-        self._logged: dict[Kind, int] = {}  # in which second the last line of a kind was
+        self.counts: Counter[tuple[EventKind, str]] = Counter()
+        self._logged: dict[EventKind, int] = {}  # in which second the last line of a kind was
 
-    def note(self, kind: Kind, reason: str) -> None:
+    def count(self, kind: EventKind, reason: str) -> None:
         """Counts an end without a line."""
         self.counts[kind, reason] += 1
 
-    def tell(self, kind: Kind, reason: str, **ids: object) -> None:
+    def log(self, kind: EventKind, reason: str, **ids: object) -> None:
         """Counts an end, and logs it with its ids if no other of its kind was logged in this second."""
         self.counts[kind, reason] += 1
         second = int(monotonic())
--- a/calicomast/net/framing.py
+++ b/calicomast/net/framing.py
@@ -10,8 +10,10 @@
 
 import hiredis
 
-MOST_BODY = 64 * 1024  # bytes of a value or body, by the protocol
-MOST_MESSAGE = MOST_BODY + 4096  # bytes of a message, framing included: one without end must not fill memory
+MAX_BODY_BYTES = 64 * 1024  # bytes of a value or body, by the protocol
+MOST_MESSAGE = (
+    MAX_BODY_BYTES + 4096
+)  # bytes of a message, framing included: one without end must not fill memory
 MOST_PARTS = 64  # of an array; no message has more than five
 MOST_LINE = 1024  # bytes of a line, among them the error line with a report
 MOST_DIGITS = 9  # of a length: Python's int() would take thousands
@@ -22,7 +24,7 @@
     """What came is no RESP message that anyone here can use; nothing behind it can be read."""
 
 
-class Framing:
+class MessageFramer:
     """Cuts a stream into messages: simple lines, strings, and arrays of both."""
 
     __slots__ = ("buffer", "at", "left", "reader")
@@ -35,7 +37,7 @@
     def feed(self, data: bytes) -> None:
         self.buffer += data
 
-    def take(self) -> Any:
+    def next_message(self) -> Any:
         """The next message, or NO_MESSAGE. An error reply is a hiredis.ReplyError."""
         end = self.end()
         if not end:
@@ -80,7 +82,7 @@
             raise FramingError("a length that is no number")
         length = int(digits)
         if not array:
-            if length > MOST_BODY + MOST_LINE:  # one a little too long can be turned away by itself
+            if length > MAX_BODY_BYTES + MOST_LINE:  # one a little too long can be turned away by itself
                 raise FramingError("too long")
             self.at += length + 2
         elif at or length > MOST_PARTS:
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -16,16 +16,22 @@
 
 from calicomast import interface as api
 from calicomast.net.attempts import AttemptControl
-from calicomast.net.clients import FAILED, ClientServer, Slot
+from calicomast.net.clients import FAILED_RESPONSE, ClientConnections, ResponseSlot
 from calicomast.net.clock import Clock
 from calicomast.net.config import Config
 from calicomast.net.counter import Counter
 from calicomast.net.discovery import Discovery
-from calicomast.net.events import EventLog, Kind
+from calicomast.net.events import EventKind, EventLog
 from calicomast.net.hosts import Attempt, Hosts
-from calicomast.net.lifecycle import ProcessState, RequestState, change
+from calicomast.net.lifecycle import ProcessState, RequestState, transition
 from calicomast.net.listing import Listing
-from calicomast.net.requests import BadRequest, Work, bulk, check_form, read_request
+from calicomast.net.requests import (
+    ActiveRequest,
+    BadRequest,
+    encode_bulk_string,
+    parse_request,
+    validate_command,
+)
 from calicomast.net.server_table import ServerTable
 from calicomast.policy import Gateway
 from calicomast.rules import (
@@ -64,7 +70,7 @@
         self.config, self.settings, self.clock = config, config.settings, Clock()
         self.loop = asyncio.get_running_loop()
         self.module = Gateway(config.settings, config.seed, self.clock())
-        self.works: dict[str, Work] = {}
+        self.works: dict[str, ActiveRequest] = {}
         self.held = 0  # bytes of bodies in work
         self.events: deque[api.Event] = deque()
         self.feeding = self.ready = False
@@ -75,7 +81,7 @@
         room = max(config.sockets - SPARE_SOCKETS, config.sockets // 2)
         # Bodies in work and half commands are bounded: past the limit of memory the program is killed.
         self.most_held = max(LEAST_HELD, (config.memory - OWN_MEMORY) // 4)
-        self.clients = ClientServer(self, room // 2, self.most_held, self.log)
+        self.clients = ClientConnections(self, room // 2, self.most_held, self.log)
         self.servers = ServerTable(self.feed, lambda server: self.hosts.stop(server), self.clock.started)
         self.hosts = Hosts(config.connect_timeout, config.idle_close, room // 2, self.servers.address)
         self.control = AttemptControl(
@@ -117,7 +123,7 @@
     def reload(self, config: Config) -> None:
         """Goes over to the addresses of a new configuration. The rest of it holds from the next start on."""
         if self.stopping:
-            self.log.tell(Kind.CONFIGURATION, Verdict.SHUTTING_DOWN.value)
+            self.log.log(EventKind.CONFIGURATION, Verdict.SHUTTING_DOWN.value)
             return
         old, self.config = self.config, config
         if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
@@ -159,7 +165,7 @@
 
     def become(self, state: ProcessState) -> None:
         """Changes the state of the process."""
-        self.state = change(self.state, state)
+        self.state = transition(self.state, state)
 
     # Events
 
@@ -189,12 +195,12 @@
             except Exception:  # nor one action the rest; the guard answers what it was for
                 log.exception("%r could not be carried out", action)
 
-    def abandon(self, work: Work, reason: str) -> None:
+    def abandon(self, work: ActiveRequest, reason: str) -> None:
         """Fails a request by itself and lets the module forget it."""
-        if not work.over:
-            self.tell_end(Kind.REQUEST_FAILED, reason, work)
-        self.finish(work, FAILED)
-        for attempt in list(work.live.values()):
+        if not work.finished:
+            self.tell_end(EventKind.REQUEST_FAILED, reason, work)
+        self.finish(work, FAILED_RESPONSE)
+        for attempt in list(work.active_attempts.values()):
             self.hosts.give_up(attempt, "cancelled")
         self.feed(api.Gone(work.id))
 
@@ -215,7 +221,7 @@
         try:
             self.servers.check(listing, source_current=source in (0, self.sources))
         except ValueError as err:
-            self.log.tell(Kind.LIST_NOT_APPLIED, str(err), version=listing.version)
+            self.log.log(EventKind.LIST_NOT_APPLIED, str(err), version=listing.version)
             raise
 
     def list_failed(self) -> None:
@@ -224,24 +230,24 @@
 
     # Clients
 
-    def command(self, slot: Slot, command: object) -> None:
+    def command(self, slot: ResponseSlot, command: object) -> None:
         if command == [b"PING"] or command == [b"ping"]:
             slot.reply(PONG if self.ready and not self.stopping else b"-ERR not ready\r\n")
             return
         try:
             self.take(slot, command)
         except BadRequest as err:
-            self.log.note(Kind.REQUEST_NOT_TAKEN, str(err))
+            self.log.count(EventKind.REQUEST_NOT_TAKEN, str(err))
             slot.reply(b"-ERR %s\r\n" % str(err).encode())
         except Exception:
             log.exception("a command could not be taken")
-            if slot.answer is None:
-                slot.reply(FAILED)
+            if slot.response is None:
+                slot.reply(FAILED_RESPONSE)
 
-    def take(self, slot: Slot, told: object) -> None:
+    def take(self, slot: ResponseSlot, told: object) -> None:
         """Takes a request on, or refuses it at once; raises BadRequest."""
-        command = check_form(told)
-        request = read_request(command, self.settings, WAY_BACK + slot.client.waited())
+        command = validate_command(told)
+        request = parse_request(command, self.settings, WAY_BACK + slot.connection.read_delay())
         if request.id in self.works:
             raise BadRequest("this id is in work")
         verdict = may_take_request(
@@ -252,82 +258,84 @@
             most_held=self.most_held,
         )
         if verdict is not Verdict.ALLOWED:
-            self.log.note(Kind.REQUEST_REFUSED, verdict.value)
+            self.log.count(EventKind.REQUEST_REFUSED, verdict.value)
             slot.reply(BUSY)
             return
         now = time.monotonic()
-        work = Work(request.id, slot, command, now + request.left)
-        slot.token, slot.due = work, now + min(request.left + WAY_BACK, self.longest) + STILL
+        work = ActiveRequest(request.id, slot, command, now + request.left)
+        slot.active_request, slot.expires_at = work, now + min(request.left + WAY_BACK, self.longest) + STILL
         self.works[request.id] = work
         self.held += len(command[-1])
-        work.guard = self.loop.call_later(max(0.0, request.left + WAY_BACK - GUARD), self.overdue, work)
+        work.deadline_timer = self.loop.call_later(
+            max(0.0, request.left + WAY_BACK - GUARD), self.overdue, work
+        )
         self.feed(request)
 
-    def gone(self, slot: Slot) -> None:
+    def gone(self, slot: ResponseSlot) -> None:
         """The client went away: nothing more is sent for its request."""
-        work = slot.token
-        if work is not None and not work.over:
+        work = slot.active_request
+        if work is not None and not work.finished:
             self.finish(work, b"")
             self.feed(api.Gone(work.id))
 
-    def overdue(self, work: Work) -> None:
+    def overdue(self, work: ActiveRequest) -> None:
         """Guards the client's deadline against a module that says nothing."""
-        if not work.over:
+        if not work.finished:
             self.abandon(work, "no decision before its deadline")
 
-    def finish(self, work: Work, answer: bytes) -> None:
+    def finish(self, work: ActiveRequest, answer: bytes) -> None:
         """The one place where a request gets its final answer."""
-        if work.over:
+        if work.finished:
             return
-        work.become(RequestState.ANSWERED)
-        if work.guard is not None:
-            work.guard.cancel()
+        work.transition_to(RequestState.ANSWERED)
+        if work.deadline_timer is not None:
+            work.deadline_timer.cancel()
         if answer:
             work.slot.reply(answer)
-        for attempt in list(work.live.values()):
+        for attempt in list(work.active_attempts.values()):
             if not attempt.written:  # after the final answer nothing more is sent
                 self.hosts.give_up(attempt, "cancelled")
         self.forget(work)
 
-    def forget(self, work: Work) -> None:
-        if work.over and not work.live and self.works.pop(work.id, None):
-            work.become(RequestState.FORGOTTEN)
+    def forget(self, work: ActiveRequest) -> None:
+        if work.finished and not work.active_attempts and self.works.pop(work.id, None):
+            work.transition_to(RequestState.REMOVED)
             self.held -= len(work.command[-1])
 
-    def tell_end(self, kind: Kind, reason: str, work: Work) -> None:
+    def tell_end(self, kind: EventKind, reason: str, work: ActiveRequest) -> None:
         """Notes why a request is given up."""
-        client = work.slot.client
+        client = work.slot.connection
         ids = {"id": work.id, "connection": client.number, "state": client.state.value}
-        self.log.tell(kind, reason, **ids, attempts=work.begun)
+        self.log.log(kind, reason, **ids, attempts=work.attempts_written)
 
     # Actions
 
     def refuse(self, action: api.Refuse) -> None:
         if action.id in self.works:
-            self.tell_end(Kind.REQUEST_REFUSED, action.reason, self.works[action.id])
+            self.tell_end(EventKind.REQUEST_REFUSED, action.reason, self.works[action.id])
             wait = math.ceil(action.retry_after * 1000)
             self.finish(self.works[action.id], b"-BUSY %d\r\n" % wait if wait > 0 else BUSY)
 
     def fail(self, action: api.Fail) -> None:
         if action.id in self.works:
-            self.tell_end(Kind.REQUEST_FAILED, action.reason, self.works[action.id])
-            self.finish(self.works[action.id], FAILED)
+            self.tell_end(EventKind.REQUEST_FAILED, action.reason, self.works[action.id])
+            self.finish(self.works[action.id], FAILED_RESPONSE)
 
     def send(self, action: api.Send) -> None:
         work = self.works.get(action.id)
-        if work is None or work.over:
+        if work is None or work.finished:
             return
-        number = work.sends
-        work.sends += 1
+        number = work.attempts_created
+        work.attempts_created += 1
         attempt = Attempt(action.host, self.begin, self.attempt_done, (work, number))
         attempt.repeat_until, attempt.cold = action.repeat_until, action.cold
-        verdict = self.control.judge(attempt, late=False)
+        verdict = self.control.may_write(attempt, connected_late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
                 self.finish(work, b"")
-            self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
+            self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, work.finished))
             return
-        work.live[number] = attempt
+        work.active_attempts[number] = attempt
         attempt.judged = True  # for as long as this step lasts
         left = work.deadline - time.monotonic()
         self.hosts.send(attempt, min(left, action.timeout) if action.timeout > 0 else left)
@@ -342,24 +350,24 @@
         be sent any more."""
         work, _ = attempt.tag
         if not attempt.judged:
-            verdict = self.control.judge(attempt, late=True)
+            verdict = self.control.may_write(attempt, connected_late=True)
             if verdict is not Verdict.ALLOWED:
                 if verdict is Verdict.CLIENT_GONE:
                     self.gone(work.slot)
                 return None
-        return self.control.write(attempt)
+        return self.control.prepare_write(attempt)
 
     def attempt_done(self, attempt: Attempt) -> None:
         work, number = attempt.tag
-        result, over = attempt.result, work.over
-        del work.live[number]
+        result, over = attempt.result, work.finished
+        del work.active_attempts[number]
         if result != "ok":
             ids = {"id": work.id, "attempt": number, "server": attempt.host, "state": work.state.value}
-            self.log.tell(Kind.ATTEMPT_ENDED, result, **ids)
+            self.log.log(EventKind.ATTEMPT_ENDED, result, **ids)
         if over and (result == "connect_failed" or result in api.NEVER_BEGAN):
             result = "moot"  # called off before it was sent, which says nothing of the host
         elif result == "ok" and not over:
-            self.finish(work, bulk(attempt.value))
+            self.finish(work, encode_bulk_string(attempt.value))
         self.forget(work)
         self.feed(
             api.Outcome(
@@ -368,7 +376,7 @@
                 attempt.host,
                 result,
                 attempt.elapsed(),
-                work.over,
+                work.finished,
                 used=attempt.used,
                 report=attempt.report,
             )
@@ -376,8 +384,8 @@
 
     def cancel(self, action: api.Cancel) -> None:
         work = self.works.get(action.id)
-        if work is not None and action.attempt in work.live:
-            self.hosts.give_up(work.live[action.attempt], "cancelled")
+        if work is not None and action.attempt in work.active_attempts:
+            self.hosts.give_up(work.active_attempts[action.attempt], "cancelled")
 
     def probe(self, action: api.Probe) -> None:
         self.hosts.probe(action.host, self.probed)
@@ -414,9 +422,9 @@
         began = time.monotonic()
         self.become(ProcessState.LINGERING)
         await asyncio.sleep(LINGER)
-        await self.clients.no_more()
+        await self.clients.stop_accepting()
         self.become(ProcessState.FINISHING)
-        self.clients.finish()
+        self.clients.drain()
         await self.idle(began + self.finish_time)
         self.become(ProcessState.REFUSING)
         for work in list(self.works.values()):
@@ -436,5 +444,5 @@
 
     async def idle(self, until: float) -> None:
         """Waits for nothing to be in work, and all answers to be written and their connections closed."""
-        while (self.works or self.clients.clients) and time.monotonic() < until:
+        while (self.works or self.clients.connections) and time.monotonic() < until:
             await asyncio.sleep(STEP)
--- a/calicomast/net/hosts.py
+++ b/calicomast/net/hosts.py
@@ -19,8 +19,8 @@
 
 import hiredis
 
-from calicomast.net.framing import MOST_BODY, NO_MESSAGE, Framing, FramingError
-from calicomast.net.lifecycle import AttemptState, ServerState, change
+from calicomast.net.framing import MAX_BODY_BYTES, NO_MESSAGE, FramingError, MessageFramer
+from calicomast.net.lifecycle import AttemptState, ServerConnectionState, transition
 from calicomast.net.listing import Address
 from calicomast.net.own_trouble import is_own_trouble
 from calicomast.settings import read_report
@@ -95,7 +95,7 @@
         if self.result:
             return
         self.result = result
-        self.state = change(self.state, AttemptState.ENDED, self.host)
+        self.state = transition(self.state, AttemptState.ENDED, self.host)
         if self.timer is not None:
             self.timer.cancel()
         self.done(self)
@@ -159,8 +159,8 @@
 class Connection(asyncio.Protocol):
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
-        self.framing = Framing()
-        self.state = ServerState.CONNECTING
+        self.framing = MessageFramer()
+        self.state = ServerConnectionState.CONNECTING
         self.attempt: Attempt | None = None
         self.written, self.idle_since = True, 0.0
         self.rested, self.heard = 0.0, False  # s before its attempt, 0 on a new one; anything of an answer
@@ -209,8 +209,8 @@
         payload = attempt.begin(attempt)
         if payload is None:
             return False
-        self.state = change(self.state, ServerState.BUSY, attempt.host)
-        attempt.state = change(attempt.state, AttemptState.RUNNING, attempt.host)
+        self.state = transition(self.state, ServerConnectionState.BUSY, attempt.host)
+        attempt.state = transition(attempt.state, AttemptState.RUNNING, attempt.host)
         self.attempt, attempt.conn = attempt, self
         self.rested, self.heard = monotonic() - self.idle_since if self.idle_since else 0.0, False
         self.transport.write(payload)
@@ -226,7 +226,7 @@
         self.heard = True
         self.framing.feed(data)
         try:
-            reply = self.framing.take()
+            reply = self.framing.next_message()
             if reply is NO_MESSAGE:
                 return
             result = read_reply(attempt, reply)
@@ -251,8 +251,8 @@
     def close(self) -> None:
         """Ends the connection now: the socket is shut at once, before another attempt can be sent."""
         attempt, self.attempt = self.attempt, None
-        if self.state is not ServerState.CLOSED:
-            self.state = change(self.state, ServerState.CLOSED)
+        if self.state is not ServerConnectionState.CLOSED:
+            self.state = transition(self.state, ServerConnectionState.CLOSED)
         self.pool.drop(self)
         if self.transport is not None and not self.transport.is_closing():
             with self.borrowed() as sock, contextlib.suppress(OSError):
@@ -268,7 +268,7 @@
     """Fills in what the answer says and tells the outcome. What no host would say is spoilt: it may have run,
     and serving anything for it would be made up."""
     if isinstance(reply, list) and attempt.tag is not PROBE:
-        if len(reply) != 3 or not isinstance(reply[0], bytes) or len(reply[0]) > MOST_BODY:
+        if len(reply) != 3 or not isinstance(reply[0], bytes) or len(reply[0]) > MAX_BODY_BYTES:
             raise FramingError("no value of a host")
         attempt.value = reply[0]
         if isinstance(reply[1], int) and 0 <= reply[1] <= MOST_USED:
@@ -336,7 +336,7 @@
 
     def rest(self, conn: Connection) -> None:
         if self.up:
-            conn.state = change(conn.state, ServerState.RESTING, self.address)
+            conn.state = transition(conn.state, ServerConnectionState.IDLE, self.address)
             conn.idle_since = monotonic()
             self.idle.append(conn)
         else:
--- a/calicomast/net/invariants.py
+++ b/calicomast/net/invariants.py
@@ -37,7 +37,7 @@
         self.strict = False
         self.counts: Counter[Invariant] = Counter()
 
-    def violated(self, invariant: Invariant, detail: str) -> None:
+    def record_violation(self, invariant: Invariant, detail: str) -> None:
         """An invariant does not hold; `detail` has the ids. Raises InvariantError in strict mode."""
         self.counts[invariant] += 1
         if self.strict:
@@ -47,7 +47,7 @@
     def check(self, holds: bool, invariant: Invariant, detail: str) -> None:
         """Counts a violation unless it holds."""
         if not holds:
-            self.violated(invariant, detail)
+            self.record_violation(invariant, detail)
 
 
 MONITOR = Monitor()  # of this process
--- a/calicomast/net/lifecycle.py
+++ b/calicomast/net/lifecycle.py
@@ -12,22 +12,22 @@
 from calicomast.net.invariants import MONITOR, Invariant
 
 
-class ClientState(Enum):
+class ClientConnectionState(Enum):
     """A client's connection."""
 
     OPEN = "open"  # read and answered
     CLOSING = "closing"  # still read and answered; closes once nothing on it is in work or unread
     BROKEN = "broken"  # what comes cannot be read any more; what is in work is failed
     ENDING = "ending"  # the last answer is written; it waits for the client's end
-    LEFT = "left"  # the client has gone, or the connection was given up
+    DISCONNECTED = "left"  # the client has gone, or the connection was given up
     CLOSED = "closed"
 
 
-class ServerState(Enum):
+class ServerConnectionState(Enum):
     """A connection to a server."""
 
     CONNECTING = "connecting"
-    RESTING = "resting"
+    IDLE = "resting"
     BUSY = "busy"  # an attempt is out on it
     CLOSED = "closed"
 
@@ -43,15 +43,15 @@
 class RequestState(Enum):
     """A request that was taken on."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     ANSWERED = "answered"  # finally, or its client has gone; attempts of it may still be out
-    FORGOTTEN = "forgotten"
+    REMOVED = "forgotten"
 
 
-class CallState(Enum):
+class DiscoveryCallState(Enum):
     """One call to discovery."""
 
-    ASKED = "asked"
+    REQUESTED = "asked"
     APPLYING = "applying"  # its list is being put in force
     ENDED = "ended"
 
@@ -69,29 +69,45 @@
 State = TypeVar("State", bound=Enum)
 
 TRANSITIONS: Mapping[Enum, frozenset[Enum]] = {
-    ClientState.OPEN: frozenset(
-        (ClientState.CLOSING, ClientState.BROKEN, ClientState.LEFT, ClientState.CLOSED)
+    ClientConnectionState.OPEN: frozenset(
+        (
+            ClientConnectionState.CLOSING,
+            ClientConnectionState.BROKEN,
+            ClientConnectionState.DISCONNECTED,
+            ClientConnectionState.CLOSED,
+        )
     ),
-    ClientState.CLOSING: frozenset(
-        (ClientState.BROKEN, ClientState.ENDING, ClientState.LEFT, ClientState.CLOSED)
+    ClientConnectionState.CLOSING: frozenset(
+        (
+            ClientConnectionState.BROKEN,
+            ClientConnectionState.ENDING,
+            ClientConnectionState.DISCONNECTED,
+            ClientConnectionState.CLOSED,
+        )
     ),
-    ClientState.BROKEN: frozenset((ClientState.ENDING, ClientState.LEFT, ClientState.CLOSED)),
-    ClientState.ENDING: frozenset((ClientState.LEFT, ClientState.CLOSED)),
-    ClientState.LEFT: frozenset((ClientState.CLOSED,)),
-    ClientState.CLOSED: frozenset(),
-    ServerState.CONNECTING: frozenset((ServerState.BUSY, ServerState.RESTING, ServerState.CLOSED)),
-    ServerState.RESTING: frozenset((ServerState.BUSY, ServerState.CLOSED)),
-    ServerState.BUSY: frozenset((ServerState.RESTING, ServerState.CLOSED)),
-    ServerState.CLOSED: frozenset(),
+    ClientConnectionState.BROKEN: frozenset(
+        (ClientConnectionState.ENDING, ClientConnectionState.DISCONNECTED, ClientConnectionState.CLOSED)
+    ),
+    ClientConnectionState.ENDING: frozenset(
+        (ClientConnectionState.DISCONNECTED, ClientConnectionState.CLOSED)
+    ),
+    ClientConnectionState.DISCONNECTED: frozenset((ClientConnectionState.CLOSED,)),
+    ClientConnectionState.CLOSED: frozenset(),
+    ServerConnectionState.CONNECTING: frozenset(
+        (ServerConnectionState.BUSY, ServerConnectionState.IDLE, ServerConnectionState.CLOSED)
+    ),
+    ServerConnectionState.IDLE: frozenset((ServerConnectionState.BUSY, ServerConnectionState.CLOSED)),
+    ServerConnectionState.BUSY: frozenset((ServerConnectionState.IDLE, ServerConnectionState.CLOSED)),
+    ServerConnectionState.CLOSED: frozenset(),
     AttemptState.WAITING: frozenset((AttemptState.RUNNING, AttemptState.ENDED)),
     AttemptState.RUNNING: frozenset((AttemptState.ENDED,)),
     AttemptState.ENDED: frozenset(),
-    RequestState.TAKEN: frozenset((RequestState.ANSWERED,)),
-    RequestState.ANSWERED: frozenset((RequestState.FORGOTTEN,)),
-    RequestState.FORGOTTEN: frozenset(),
-    CallState.ASKED: frozenset((CallState.APPLYING, CallState.ENDED)),
-    CallState.APPLYING: frozenset((CallState.ENDED,)),
-    CallState.ENDED: frozenset(),
+    RequestState.ACCEPTED: frozenset((RequestState.ANSWERED,)),
+    RequestState.ANSWERED: frozenset((RequestState.REMOVED,)),
+    RequestState.REMOVED: frozenset(),
+    DiscoveryCallState.REQUESTED: frozenset((DiscoveryCallState.APPLYING, DiscoveryCallState.ENDED)),
+    DiscoveryCallState.APPLYING: frozenset((DiscoveryCallState.ENDED,)),
+    DiscoveryCallState.ENDED: frozenset(),
     ProcessState.SERVING: frozenset((ProcessState.LINGERING,)),
     ProcessState.LINGERING: frozenset((ProcessState.FINISHING,)),
     ProcessState.FINISHING: frozenset((ProcessState.REFUSING,)),
@@ -100,8 +116,10 @@
 }
 
 
-def change(old: State, new: State, subject: object = "") -> State:
+def transition(old: State, new: State, subject: object = "") -> State:
     """The new state; one that may not follow the old one is a violation, told with `subject`."""
     if new not in TRANSITIONS[old]:
-        MONITOR.violated(Invariant.TRANSITION, f"{type(old).__name__} {old.value} -> {new.value} {subject}")
+        MONITOR.record_violation(
+            Invariant.TRANSITION, f"{type(old).__name__} {old.value} -> {new.value} {subject}"
+        )
     return new
--- a/calicomast/net/listener.py
+++ b/calicomast/net/listener.py
@@ -56,7 +56,7 @@
             listening.close()
             raise
         self._socket = listening
-        self._loop.add_reader(listening, self._readable)
+        self._loop.add_reader(listening, self._on_readable)
         return listening.getsockname()[1]
 
     def is_serving(self) -> bool:
@@ -83,18 +83,18 @@
         """Accepts all connections that wait; whether none is left."""
         for _ in range(2 * BACKLOG):
             try:
-                if not self._accept():
+                if not self._accept_one():
                     return True
             except OSError as err:
                 self._note(err)
                 return False
         return True
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         """Accepts one in a turn of the loop: what those before it ask is begun first. After a failure all
         that wait are accepted, so that it is known which did."""
         try:
-            while self._accept() and self._failing_since is not None:
+            while self._accept_one() and self._failing_since is not None:
                 pass
         except OSError as err:
             self._note(err)
@@ -102,7 +102,7 @@
             self._paused = self._loop.call_later(self._pause, self._read_again)
             self._pause = min(PAUSE_MOST, 2 * self._pause)
 
-    def _accept(self) -> bool:
+    def _accept_one(self) -> bool:
         """Accepts one connection; False if none waits. Raises OSError."""
         assert self._socket is not None
         try:
@@ -140,4 +140,4 @@
     def _read_again(self) -> None:
         self._paused = None
         if self._socket is not None:
-            self._loop.add_reader(self._socket, self._readable)
+            self._loop.add_reader(self._socket, self._on_readable)
--- a/calicomast/net/requests.py
+++ b/calicomast/net/requests.py
@@ -6,10 +6,10 @@
 import re
 
 from calicomast import interface as api
-from calicomast.net.clients import Slot
-from calicomast.net.framing import MOST_BODY
+from calicomast.net.clients import ResponseSlot
+from calicomast.net.framing import MAX_BODY_BYTES
 from calicomast.net.hosts import Attempt
-from calicomast.net.lifecycle import RequestState, change
+from calicomast.net.lifecycle import RequestState, transition
 from calicomast.rules import time_told
 
 MOST_LEFT = 3600.0  # s; a client that says it will wait for longer is in error
@@ -26,41 +26,51 @@
     """Why a command cannot be taken."""
 
 
-class Work:
+class ActiveRequest:
     """A request that was taken: where its answer goes, what goes to servers, and what is out for it.
 
     Attributes:
         deadline: on the monotonic clock, when the module is to be done with it.
-        sends: attempts that the module decided on; they are numbered in this order.
-        begun: those of them that were written.
+        attempts_created: attempts that the module decided on; they are numbered in this order.
+        attempts_written: those of them that were written.
     """
 
-    __slots__ = ("id", "slot", "command", "deadline", "guard", "sends", "begun", "live", "state")
+    __slots__ = (
+        "id",
+        "slot",
+        "command",
+        "deadline",
+        "deadline_timer",
+        "attempts_created",
+        "attempts_written",
+        "active_attempts",
+        "state",
+    )
 
-    def __init__(self, id: str, slot: Slot, command: list[bytes], deadline: float) -> None:
+    def __init__(self, id: str, slot: ResponseSlot, command: list[bytes], deadline: float) -> None:
         self.id, self.slot, self.command, self.deadline = id, slot, command, deadline
-        self.guard: asyncio.TimerHandle | None = None
-        self.sends = self.begun = 0
-        self.live: dict[int, Attempt] = {}
-        self.state = RequestState.TAKEN
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.attempts_created = self.attempts_written = 0
+        self.active_attempts: dict[int, Attempt] = {}
+        self.state = RequestState.ACCEPTED
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         """Whether it has its final answer, or its client has gone."""
-        return self.state is not RequestState.TAKEN
+        return self.state is not RequestState.ACCEPTED
 
-    def become(self, state: RequestState) -> None:
+    def transition_to(self, state: RequestState) -> None:
         """Changes its state."""
-        self.state = change(self.state, state, self.id)
+        self.state = transition(self.state, state, self.id)
 
-    def payload(self, left: float) -> bytes:
+    def encode_command(self, left: float) -> bytes:
         """The command as the client sent it, but for `d`: how long this attempt is waited for, in seconds
         from now on."""
         terms = self.command[3]
         start, end = time_field(terms)
         told = b"%s%d%s" % (terms[:start], time_told(left), terms[end:])
         parts = [*self.command[:3], told, *self.command[4:]]
-        return b"*%d\r\n%s" % (len(parts), b"".join([bulk(part) for part in parts]))
+        return b"*%d\r\n%s" % (len(parts), b"".join([encode_bulk_string(part) for part in parts]))
 
 
 def time_field(terms: bytes) -> tuple[int, int]:
@@ -70,7 +80,7 @@
     return start, end if end >= 0 else len(terms)
 
 
-def bulk(data: bytes) -> bytes:
+def encode_bulk_string(data: bytes) -> bytes:
     """A bulk string on the wire."""
     return b"$%d\r\n%s\r\n" % (len(data), data)
 
@@ -89,7 +99,7 @@
     return float(text)
 
 
-def check_form(command: object) -> list[bytes]:
+def validate_command(command: object) -> list[bytes]:
     """The command, if it is a request in its form; raises BadRequest."""
     if not isinstance(command, list) or {type(part) for part in command} - {bytes}:
         raise BadRequest("not an array of bulk strings")
@@ -98,12 +108,12 @@
         raise BadRequest("unknown command")
     if len(command) != 4 + (verb == WRITE):
         raise BadRequest("wrong number of arguments")
-    if verb == WRITE and len(command[4]) > MOST_BODY:
+    if verb == WRITE and len(command[4]) > MAX_BODY_BYTES:
         raise BadRequest("body too long")
     return command
 
 
-def read_request(command: list[bytes], settings: api.Settings, spent: float) -> api.Request:
+def parse_request(command: list[bytes], settings: api.Settings, spent: float) -> api.Request:
     """The request that a command in its form makes; raises BadRequest. `spent`: seconds of the client's time
     that are to be taken off."""
     verb, customer, name, terms = command[:4]
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -45,7 +45,7 @@
     """Some requests get no answer."""
     finish, count = gateway.GatewayNode.finish, [0]
 
-    def silent(node: gateway.GatewayNode, work: requests.Work, answer: bytes) -> None:
+    def silent(node: gateway.GatewayNode, work: requests.ActiveRequest, answer: bytes) -> None:
         count[0] += 1
         finish(node, work, b"" if count[0] % EVERY == 0 else answer)
 
@@ -54,7 +54,7 @@
 
 def right_answer() -> None:
     """What is served is not what the server made."""
-    gateway.bulk = lambda data: requests.bulk(data + b"-not")  # type: ignore[assignment]
+    gateway.encode_bulk_string = lambda data: requests.encode_bulk_string(data + b"-not")  # type: ignore[assignment]
 
 
 def hold_back(seconds: float) -> None:
@@ -80,7 +80,7 @@
         work, _ = attempt.tag
         done(node, attempt)
         if attempt.result == "ok":
-            payload = work.payload(1.0)
+            payload = work.encode_command(1.0)
             second = hosts.Attempt(attempt.host, lambda _: payload, lambda _: None, hosts.PROBE)
             later(seconds, node.hosts.send, second, 1.0)
 
@@ -99,7 +99,7 @@
 
 def nothing_after_leaving() -> None:
     """A client that left is not noticed."""
-    clients.Client.has_left = lambda self: False  # type: ignore[method-assign]
+    clients.ClientConnection.peer_has_closed = lambda self: False  # type: ignore[method-assign]
     gateway.GatewayNode.gone = lambda self, slot: None  # type: ignore[method-assign]
     hold_back(LATE)
 
@@ -111,8 +111,8 @@
 
 def deadline_told() -> None:
     """Servers are told a second more than there is."""
-    payload = requests.Work.payload
-    requests.Work.payload = lambda self, left: payload(self, left + 1.0)  # type: ignore[method-assign]
+    payload = requests.ActiveRequest.encode_command
+    requests.ActiveRequest.encode_command = lambda self, left: payload(self, left + 1.0)  # type: ignore[method-assign]
 
 
 def drained_servers_rest() -> None:
@@ -148,8 +148,8 @@
 
 def bad_clients_are_answered() -> None:
     """Nobody looks at connections that are idle or have half a command."""
-    clients.Client.expire = lambda self: None  # type: ignore[method-assign]
-    clients.Client.expire_half = lambda self, seconds: None  # type: ignore[method-assign]
+    clients.ClientConnection.on_idle_timeout = lambda self: None  # type: ignore[method-assign]
+    clients.ClientConnection.expire_partial_command = lambda self, seconds: None  # type: ignore[method-assign]
 
 
 def processes_live() -> None:
@@ -171,12 +171,12 @@
 def own_checks_hold() -> None:
     """A run-time check finds something."""
     found = invariants.Invariant.SECOND_ANSWER
-    after_start(lambda node: later(AFTER, invariants.MONITOR.violated, found, "on purpose"))
+    after_start(lambda node: later(AFTER, invariants.MONITOR.record_violation, found, "on purpose"))
 
 
 def commands_are_sound() -> None:
     """Servers get what no client sent."""
-    requests.Work.payload = lambda self, left: b"GET / HTTP/1.1\r\n\r\n"  # type: ignore[method-assign]
+    requests.ActiveRequest.encode_command = lambda self, left: b"GET / HTTP/1.1\r\n\r\n"  # type: ignore[method-assign]
 
 
 BREAKS: dict[str, Callable[[], None]] = {
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -342,7 +342,7 @@
     async def __aexit__(self, *_):
         for writer in self.writers:
             writer.close()
-        self.node.clients.finish()
+        self.node.clients.drain()
         self.node.hosts.close()
         self.node.counter.close()
         await self.node.discovery.close()
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -120,7 +120,7 @@
         reader, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
-        node.node.clients.finish()
+        node.node.clients.drain()
         writer.write(command(b"second"))
         while (await host.arrived.get())[2] != b"second":
             pass
@@ -140,7 +140,7 @@
         writer.write(sent)
         assert (await read_reply(reader)).startswith(told)
         assert await reader.read() == b""
-        while node.node.clients.clients:
+        while node.node.clients.connections:
             await asyncio.sleep(0.01)
         assert not (node.node.clients.idle or node.node.clients.ending or node.node.clients.partial)
 
@@ -182,7 +182,7 @@
                 for n in range(400):
                     writer.write(command(b"r%d" % n))
                     await writer.drain()
-            while node.node.clients.clients:
+            while node.node.clients.connections:
                 await asyncio.sleep(0.01)
             assert not (node.node.works or node.node.held)
 
@@ -190,7 +190,7 @@
 @on_loop
 async def test_at_the_limit_the_longest_idle_goes_and_with_all_busy_the_newcomer(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        node.node.clients.most = 2
+        node.node.clients.max_connections = 2
         node.node.module.fleet.limit = 100.0
         first, _ = await node.connect()
         busy = []
@@ -216,8 +216,8 @@
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client.connect(("127.0.0.1", node.port))
     client.setblocking(False)
-    before = set(node.node.clients.clients)
-    while not (there := node.node.clients.clients - before):
+    before = set(node.node.clients.connections)
+    while not (there := node.node.clients.connections - before):
         await asyncio.sleep(0)
     (served,) = there
     served.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -243,7 +243,7 @@
         client, served = await untaken(node)
         served.close_when_done(clients.CloseReason.IDLE)
         assert served in node.node.clients.ending
-        node.node.clients.most = 1
+        node.node.clients.max_connections = 1
         reader, _ = await node.connect()
         assert (await read_reply(reader)).startswith(b"-ERR too many")
         assert await take(client) == LONG * 10
@@ -255,13 +255,13 @@
         server = node.node.clients
         for _ in range(4):
             await node.connect()
-        while len(server.clients) < 4:
+        while len(server.connections) < 4:
             await asyncio.sleep(0)
-        for client in list(server.clients)[:2]:
+        for client in list(server.connections)[:2]:
             client.fail(b"-ERR\r\n", clients.CloseReason.LOST_FRAMING)  # ends once its client does
-        assert [server.make_room() for _ in range(5)] == [True] * 4 + [False]
-        assert server.leaving == server.clients
-        while server.clients:
+        assert [server.evict_connection() for _ in range(5)] == [True] * 4 + [False]
+        assert server.leaving == server.connections
+        while server.connections:
             await asyncio.sleep(0)
         assert not (server.leaving or server.ending or server.idle)
 
@@ -269,7 +269,7 @@
 @on_loop
 async def test_one_that_is_turned_away_hears_of_it_though_it_has_asked(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        node.node.clients.most = 1
+        node.node.clients.max_connections = 1
         busy, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
@@ -277,12 +277,12 @@
         for client in asked:
             client.shutdown(socket.SHUT_WR)
             assert (await take(client)).startswith(b"-ERR too many")  # an end, not a reset
-        while len(node.node.clients.clients) > 1:
+        while len(node.node.clients.connections) > 1:
             await asyncio.sleep(0)
         for _ in range(2 * clients.MOST_AWAY):
             await node.connect()
         await asyncio.sleep(0)
-        assert len(node.node.clients.clients) <= clients.MOST_AWAY + 3  # a few may be on their way
+        assert len(node.node.clients.connections) <= clients.MOST_AWAY + 3  # a few may be on their way
         host.writers[0].write(VALUE)
         assert await read_reply(busy) == SERVED and len(host.commands) == 1
 
@@ -309,7 +309,7 @@
 @on_loop
 async def test_half_commands_together_are_bounded(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.clients.most_partial = 100_000
+        node.node.clients.max_partial_bytes = 100_000
         readers = []
         for _ in range(3):
             reader, writer = await node.connect()
@@ -332,12 +332,14 @@
         _, writer = await node.connect()
         for n in range(clients.MOST_PENDING):
             writer.write(command(b"r%d" % n, terms=terms(d="600000")))
-        while not (there := list(node.node.clients.clients)) or len(there[0].pending) < clients.MOST_PENDING:
+        while (
+            not (there := list(node.node.clients.connections)) or len(there[0].pending) < clients.MOST_PENDING
+        ):
             await asyncio.sleep(0)
         assert there[0].reads_paused
         writer.write(command(b"unread"))
         writer.close()
-        while node.node.works or node.node.clients.clients:  # long before any of their deadlines
+        while node.node.works or node.node.clients.connections:  # long before any of their deadlines
             await asyncio.sleep(0)
         assert not node.node.clients.unread
 
@@ -356,7 +358,7 @@
                 served += 1
                 while len(host.commands) < served or client is None or client.pending:
                     await asyncio.sleep(0)
-                    (client,) = node.node.clients.clients
+                    (client,) = node.node.clients.connections
                 await asyncio.sleep(0)
             host.answer = None
             writer.write(command(b"waits", terms=terms(d="600000")))
@@ -390,10 +392,10 @@
 async def test_what_was_sent_before_an_idle_connection_is_closed_is_served(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         client = blocking(node, b"")
-        while not node.node.clients.clients:
+        while not node.node.clients.connections:
             await asyncio.sleep(0)
         client.send(command())  # lies unread
-        node.node.clients.finish()
+        node.node.clients.drain()
         assert await take(client) == SERVED
 
 
@@ -402,10 +404,10 @@
     """Though the first of them is answered at once, which leaves nothing in work."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         client = blocking(node, b"")
-        while not node.node.clients.clients:
+        while not node.node.clients.connections:
             await asyncio.sleep(0)
         client.send(b"*1\r\n$4\r\nPING\r\n" + command(b"refused", terms=terms(d="1")) + command())
-        node.node.clients.finish()
+        node.node.clients.drain()
         assert await take(client) == b"+PONG\r\n-BUSY\r\n" + SERVED
 
 
@@ -414,7 +416,7 @@
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         client = blocking(node, command(b"first"))
         await host.arrived.get()
-        node.node.clients.finish()
+        node.node.clients.drain()
         (work,) = node.node.works.values()
         client.send(command(b"second"))  # lies unread
         host.answer = VALUE
@@ -429,9 +431,9 @@
         asked = [blocking(node, ping) for _ in range(60)] + [
             blocking(node, command(b"r%d" % n)) for n in range(8)
         ]
-        assert not node.node.clients.clients
-        await node.node.clients.no_more()
-        node.node.clients.finish()
+        assert not node.node.clients.connections
+        await node.node.clients.stop_accepting()
+        node.node.clients.drain()
         assert [await take(client) for client in asked] == [pong] * 60 + [SERVED] * 8
         with pytest.raises(ConnectionError):
             blocking(node, b"")
@@ -442,7 +444,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         text, (reader, writer) = command(), await node.connect()
         writer.write(text[:9])
-        while not (there := list(node.node.clients.clients)) or not there[0].partial:
+        while not (there := list(node.node.clients.connections)) or not there[0].partial:
             await asyncio.sleep(0)
         (client,), server = there, node.node.clients
         server.idle[client] -= clients.IDLE  # as if the first part had come at its end
@@ -480,7 +482,7 @@
         while not client.unread():
             await asyncio.sleep(0)
         node.node.module = module
-        node.node.clients.finish()
+        node.node.clients.drain()
         for work in list(node.node.works.values())[::-1]:  # so that the first releases all the others
             node.node.finish(work, SERVED)
         assert [await read_reply(reader) for _ in range(clients.MOST_PENDING + 2)] == (
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -24,7 +24,7 @@
 
 from calicomast import interface as api
 from calicomast.net import clients, gateway, hosts
-from calicomast.net.requests import read_request
+from calicomast.net.requests import parse_request
 
 
 @on_loop
@@ -169,7 +169,7 @@
         reader, writer = await node.connect()
         writer.transport.pause_reading()
         asked = 0
-        while not (there := node.node.clients.clients) or not any(c.writes_paused for c in there):
+        while not (there := node.node.clients.connections) or not any(c.writes_paused for c in there):
             writer.write(command(b"r%d" % asked))
             asked += 1
             await asyncio.sleep(0.001)
@@ -183,7 +183,7 @@
         taken = [await read_reply(reader) for _ in range(asked + 1)]
         assert set(taken[:-1]) <= {value, b"-BUSY\r\n"} and taken[-1] == b"" and value in taken
         await ending
-        assert not node.node.clients.clients and not node.node.works
+        assert not node.node.clients.connections and not node.node.works
 
 
 @on_loop
@@ -243,7 +243,7 @@
     (work,) = node.node.works.values()
     for event in events:
         await event()
-    work.slot.client.transport.pause_reading()
+    work.slot.connection.transport.pause_reading()
     client.close()
     return work
 
@@ -265,7 +265,7 @@
         node.node.module = module = Held()
         work = await left_unread(node)
         node.node.send(api.Send(work.id, "h1"))
-        assert work.over and not work.live and not node.node.hosts.pool("h1").coming
+        assert work.finished and not work.active_attempts and not node.node.hosts.pool("h1").coming
         (ended,) = [e for e in module.seen if isinstance(e, api.Outcome)]
         assert (ended.id, ended.attempt, ended.result, ended.final) == (work.id, 0, "moot", True)
         assert not node.node.works
@@ -286,7 +286,7 @@
         first.writers[0].write(b"-BUSY\r\n")  # never ran: it would go to the other one
         while node.node.works:
             await asyncio.sleep(0)
-        assert work.over and work.sends == 2 and not other.commands
+        assert work.finished and work.attempts_created == 2 and not other.commands
         assert not node.node.module.requests and not node.node.module.fleet.out
 
 
@@ -302,7 +302,7 @@
         assert pool.coming
         while pool.coming:
             await asyncio.sleep(0)
-        assert work.over and not work.live and not host.commands
+        assert work.finished and not work.active_attempts and not host.commands
         assert len(pool.idle) == 1 and not node.node.module.fleet.out  # the connection serves the next one
         await asyncio.sleep(2 * hosts.REST)  # timers may come up to a millisecond early
         assert await node.ask(command(b"r2")) == SERVED
@@ -316,18 +316,18 @@
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         now, server = time.monotonic() + 10.0, node.node.clients
         monkeypatch.setattr(clients, "monotonic", lambda: now)
-        server.look_at = now - late  # the look that was due then comes now
-        server.look()
+        server.next_poll_at = now - late  # the look that was due then comes now
+        server.poll_disconnects()
         asked = [b"API.READ", b"00000000b4d65521", b"r1", terms(d="1000")]
-        spent = gateway.WAY_BACK + server.waited()
-        left = read_request(asked, node.node.settings, spent).left
+        spent = gateway.WAY_BACK + server.loop_lag()
+        left = parse_request(asked, node.node.settings, spent).left
         assert left == pytest.approx(1.0 - gateway.WAY_BACK - late)
-        now += clients.LOOK
-        server.look()
-        spent = gateway.WAY_BACK + server.waited()
-        assert read_request(asked, node.node.settings, spent).left == pytest.approx(1.0 - gateway.WAY_BACK)
+        now += clients.DISCONNECT_POLL_INTERVAL
+        server.poll_disconnects()
+        spent = gateway.WAY_BACK + server.loop_lag()
+        assert parse_request(asked, node.node.settings, spent).left == pytest.approx(1.0 - gateway.WAY_BACK)
         if late > 1.0:
-            now, server.lag = server.looked, 600.0
+            now, server.last_poll_lag = server.last_poll_at, 600.0
             assert await node.ask(command(terms=terms(d="1000"))) == b"-BUSY\r\n"  # at once
 
 
--- a/tests/test_net_hosts.py
+++ b/tests/test_net_hosts.py
@@ -164,7 +164,7 @@
         node.node.module = Mover()
         asked = asyncio.create_task(node.ask(command()))
         await one.arrived.get()
-        (attempt,) = node.node.works["r1"].live.values()
+        (attempt,) = node.node.works["r1"].active_attempts.values()
         ended = socket.socket(fileno=os.dup(attempt.conn.descriptor))
         node.node.cancel(api.Cancel("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -8,7 +8,7 @@
 from test_net_discovery import Agent, sendable
 
 from calicomast.net import discovery, gateway, listing, server_table
-from calicomast.net.events import Kind
+from calicomast.net.events import EventKind
 from calicomast.net.json_stream import LONGEST_VALUE, JsonArrayReader
 from calicomast.net.listing import PIECE, ListReader, read_list
 from calicomast.net.server_table import COMPARED, SLICE, ServerTable
@@ -360,4 +360,4 @@
         with pytest.raises(ValueError, match="replaced"):
             next(slices)
         assert len(node.node.servers.entries) == held < 3 * SLICE
-        assert node.node.log.counts[Kind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
+        assert node.node.log.counts[EventKind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
