--- a/calicomast/net/framing.py
+++ b/calicomast/net/framing.py
@@ -1,7 +1,8 @@
-"""Where a RESP message ends. Its lengths are checked here before anything believes them.
+"""RESP2 message framing: finds where each message ends and validates its lengths before hiredis parses it.
 
-hiredis makes room for `*1000000000` at once, and giving that back takes it a second of CPU; nor does it look
-whether CRLF stands behind a string. So it gets whole messages only, whose framing was found to hold.
+hiredis allocates the whole array for `*1000000000` at once, and freeing it takes a second of CPU. It also
+doesn't check that CRLF follows a bulk string. It is therefore given only whole messages whose framing has
+been validated here.
 """
 
 from __future__ import annotations
@@ -10,36 +11,45 @@
 
 import hiredis
 
-MAX_BODY_BYTES = 64 * 1024  # bytes of a value or body, by the protocol
-MOST_MESSAGE = (
-    MAX_BODY_BYTES + 4096
-)  # bytes of a message, framing included: one without end must not fill memory
-MOST_PARTS = 64  # of an array; no message has more than five
-MOST_LINE = 1024  # bytes of a line, among them the error line with a report
-MOST_DIGITS = 9  # of a length: Python's int() would take thousands
-NO_MESSAGE: Any = object()  # more bytes are needed (None and False are values)
+MAX_BODY_BYTES = 64 * 1024  # of a value or body; set by the protocol
+# Of a message, framing included. Bounds the memory that a message without an end can fill.
+MAX_MESSAGE_BYTES = MAX_BODY_BYTES + 4096
+MAX_ARRAY_ITEMS = 64  # no message of the protocol has more than five
+MAX_LINE_BYTES = 1024  # the longest lines are error lines that carry a load report
+MAX_LENGTH_DIGITS = 9  # Python's int() would accept thousands
+NO_MESSAGE: Any = object()  # more bytes are needed; None and False are valid messages
 
 
 class FramingError(Exception):
-    """What came is no RESP message that anyone here can use; nothing behind it can be read."""
+    """Raised for bytes that are not a valid RESP message; the rest of the stream can't be parsed."""
 
 
 class MessageFramer:
-    """Cuts a stream into messages: simple lines, strings, and arrays of both."""
+    """Splits a byte stream into RESP messages: simple lines, bulk strings, and arrays of both.
 
-    __slots__ = ("buffer", "at", "left", "reader")
+    Attributes:
+        buffer: bytes received that are not part of a returned message.
+        position: offset in `buffer` where the next item of the first message begins.
+        items_left: items of the first message that have not been scanned yet.
+    """
+
+    __slots__ = ("buffer", "position", "items_left", "reader")
 
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self.at, self.left = 0, 1  # where the next part begins; parts of the message still to come
+        self.position, self.items_left = 0, 1
         self.reader = hiredis.Reader()
 
     def feed(self, data: bytes) -> None:
+        """Appends received bytes to the buffer."""
         self.buffer += data
 
     def next_message(self) -> Any:
-        """The next message, or NO_MESSAGE. An error reply is a hiredis.ReplyError."""
-        end = self.end()
+        """Returns the next message, or NO_MESSAGE if it is incomplete.
+
+        An error reply is returned as a hiredis.ReplyError. Raises FramingError.
+        """
+        end = self.message_length()
         if not end:
             return NO_MESSAGE
         try:
@@ -48,44 +58,52 @@
         except (hiredis.ProtocolError, MemoryError) as err:
             raise FramingError(str(err)) from err
         del self.buffer[:end]
-        self.at, self.left = 0, 1
+        self.position, self.items_left = 0, 1
         return message
 
-    def end(self) -> int:
-        """The first message's length; 0 while it is not whole. Looks at no byte twice but those of a line."""
+    def message_length(self) -> int:
+        """Returns the length of the first message in bytes, or 0 while it is incomplete. Raises FramingError.
+
+        Scanning resumes where the last call stopped: only the bytes of an incomplete line are scanned again.
+        """
         buffer = self.buffer
-        have = len(buffer)
-        while self.left:
-            at = self.at
-            if at >= have:
+        available = len(buffer)
+        while self.items_left:
+            start = self.position
+            if start >= available:
                 break
-            kind, line = buffer[at], buffer.find(b"\r\n", at, at + MOST_LINE)
-            if kind not in b"$*+-:":
-                raise FramingError("unknown type")
-            if line < 0:
-                if have - at >= MOST_LINE:
-                    raise FramingError("a line without end")
+            type_byte, line_end = buffer[start], buffer.find(b"\r\n", start, start + MAX_LINE_BYTES)
+            if type_byte not in b"$*+-:":
+                raise FramingError("unknown type byte")
+            if line_end < 0:
+                if available - start >= MAX_LINE_BYTES:
+                    raise FramingError("line too long")
                 break
-            self.at, self.left = line + 2, self.left - 1
-            if kind in b"$*":
-                self.length(kind == 42, buffer[at + 1 : line], at)
-            if self.at > MOST_MESSAGE:
-                raise FramingError("too long")
-            if self.at <= have and buffer[self.at - 2 : self.at] != b"\r\n":
-                raise FramingError("a length that does not fit")
-        return self.at if not self.left and self.at <= have else 0
-
-    def length(self, array: bool, digits: bytearray, at: int) -> None:
+            self.position, self.items_left = line_end + 2, self.items_left - 1
+            if type_byte in b"$*":
+                self.apply_length(type_byte == 42, buffer[start + 1 : line_end], start)
+            if self.position > MAX_MESSAGE_BYTES:
+                raise FramingError("message too long")
+            if self.position <= available and buffer[self.position - 2 : self.position] != b"\r\n":
+                raise FramingError("no CRLF after a bulk string")
+        return self.position if not self.items_left and self.position <= available else 0
+
+    def apply_length(self, is_array: bool, digits: bytearray, start: int) -> None:
+        """Applies the length of an array or a bulk string that begins at `start` in the buffer.
+
+        Raises FramingError for a length that is malformed or too large, and for a nested array.
+        """
         if digits == b"-1":
             return
-        if not digits.isdigit() or len(digits) > MOST_DIGITS:
-            raise FramingError("a length that is no number")
+        if not digits.isdigit() or len(digits) > MAX_LENGTH_DIGITS:
+            raise FramingError("malformed length")
         length = int(digits)
-        if not array:
-            if length > MAX_BODY_BYTES + MOST_LINE:  # one a little too long can be turned away by itself
-                raise FramingError("too long")
-            self.at += length + 2
-        elif at or length > MOST_PARTS:
-            raise FramingError("an array in an array, or too many parts")
+        if not is_array:
+            # A body slightly over its limit still fits, so that its command alone is rejected.
+            if length > MAX_BODY_BYTES + MAX_LINE_BYTES:
+                raise FramingError("bulk string too long")
+            self.position += length + 2
+        elif start or length > MAX_ARRAY_ITEMS:
+            raise FramingError("nested array, or too many items")
         else:
-            self.left += length
+            self.items_left += length
