--- a/calicomast/net/events.py
+++ b/calicomast/net/events.py
@@ -1,8 +1,8 @@
-"""Counts of what ended and why, and a log line for some of them.
+"""Counters of closed connections, ended attempts and refused requests by reason, with rate-limited logging.
 
-Every end is counted under its kind and reason: a connection that was closed, an attempt that was given up, a
-request that was refused. Of each kind one line a second is logged, as CPU is rationed; the counts beside them
-miss nothing. They are printed when the process ends and on SIGUSR1.
+Every event is counted by its kind and reason: a connection that was closed, an attempt that was given up, a
+request that was refused. To save CPU, at most one line a second is logged for each kind; the counters include
+every event. They are logged when the process exits and on SIGUSR1.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class EventKind(Enum):
-    """What ended or failed."""
+    """Kind of an event; the values are printed in the log and in the counters."""
 
     CLIENT_CLOSED = "client_closed"
     ATTEMPT_ENDED = "attempt_ended"
@@ -33,27 +33,27 @@
 
 
 class EventLog:
-    """The counts of one gateway."""
+    """Event counters of one gateway."""
 
     def __init__(self) -> None:
         self.counts: Counter[tuple[EventKind, str]] = Counter()
-        self._logged: dict[EventKind, int] = {}  # in which second the last line of a kind was
+        self._last_logged_second: dict[EventKind, int] = {}  # on the monotonic clock
 
     def count(self, kind: EventKind, reason: str) -> None:
-        """Counts an end without a line."""
+        """Counts an event without logging it."""
         self.counts[kind, reason] += 1
 
     def log(self, kind: EventKind, reason: str, **ids: object) -> None:
-        """Counts an end, and logs it with its ids if no other of its kind was logged in this second."""
+        """Counts an event, and logs it with its ids unless one of its kind was logged in this second."""
         self.counts[kind, reason] += 1
         second = int(monotonic())
-        if self._logged.get(kind) != second:
-            self._logged[kind] = second
-            told = " ".join(f"{name}={value}" for name, value in ids.items())
-            log.info("event=%s reason=%s %s", kind.value, reason.replace(" ", "-"), told)
+        if self._last_logged_second.get(kind) != second:
+            self._last_logged_second[kind] = second
+            details = " ".join(f"{name}={value}" for name, value in ids.items())
+            log.info("event=%s reason=%s %s", kind.value, reason.replace(" ", "-"), details)
 
     def summary(self) -> str:
-        """All counts and violations as one line of JSON."""
+        """Returns all counters and invariant violations as one line of JSON."""
         counts: dict[str, dict[str, int]] = {}
         for (kind, reason), count in sorted(self.counts.items(), key=lambda item: str(item[0])):
             counts.setdefault(kind.value, {})[reason] = count
