--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -16,14 +16,20 @@
 
 from calicomast import interface as api
 from calicomast.net.attempts import AttemptControl
-from calicomast.net.clients import FAILED, ClientServer, Slot
+from calicomast.net.clients import FAILED_RESPONSE, ClientConnections, ResponseSlot
 from calicomast.net.clock import Clock
 from calicomast.net.config import Config
 from calicomast.net.counter import CounterClient
 from calicomast.net.discovery import DiscoveryClient
-from calicomast.net.events import EventLog, Kind
-from calicomast.net.lifecycle import ProcessState, RequestState, change
-from calicomast.net.requests import BadRequest, Work, bulk, check_form, read_request
+from calicomast.net.events import EventKind, EventLog
+from calicomast.net.lifecycle import ProcessState, RequestState, transition
+from calicomast.net.requests import (
+    ActiveRequest,
+    BadRequest,
+    encode_bulk_string,
+    parse_request,
+    validate_command,
+)
 from calicomast.net.server_connections import Attempt, ServerConnections
 from calicomast.net.server_list import ServerList
 from calicomast.net.server_table import ServerTable
@@ -64,7 +70,7 @@
         self.config, self.settings, self.clock = config, config.settings, Clock()
         self.loop = asyncio.get_running_loop()
         self.policy = Gateway(config.settings, config.seed, self.clock())
-        self.active_requests: dict[str, Work] = {}
+        self.active_requests: dict[str, ActiveRequest] = {}
         self.held_body_bytes = 0  # bytes of bodies in work
         self.events: deque[api.Event] = deque()
         self.feeding = self.ready = False
@@ -75,7 +81,7 @@
         room = max(config.sockets - SPARE_SOCKETS, config.sockets // 2)
         # Bodies in work and half commands are bounded: past the limit of memory the program is killed.
         self.most_held = max(LEAST_HELD, (config.memory - BASE_MEMORY_BYTES) // 4)
-        self.clients = ClientServer(self, room // 2, self.most_held, self.event_log)
+        self.clients = ClientConnections(self, room // 2, self.most_held, self.event_log)
         self.server_table = ServerTable(
             self.feed, lambda server: self.server_connections.stop_server(server), self.clock.local_start_time
         )
@@ -123,7 +129,7 @@
     def reload(self, config: Config) -> None:
         """Goes over to the addresses of a new configuration. The rest of it holds from the next start on."""
         if self.stopping:
-            self.event_log.tell(Kind.CONFIGURATION, Verdict.SHUTTING_DOWN.value)
+            self.event_log.log(EventKind.CONFIGURATION, Verdict.SHUTTING_DOWN.value)
             return
         old, self.config = self.config, config
         if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
@@ -165,7 +171,7 @@
 
     def become(self, state: ProcessState) -> None:
         """Changes the state of the process."""
-        self.state = change(self.state, state)
+        self.state = transition(self.state, state)
 
     # Events
 
@@ -195,12 +201,12 @@
             except Exception:  # nor one action the rest; the guard answers what it was for
                 log.exception("%r could not be carried out", action)
 
-    def abort_request(self, work: Work, reason: str) -> None:
+    def abort_request(self, work: ActiveRequest, reason: str) -> None:
         """Fails a request by itself and lets the module forget it."""
-        if not work.over:
-            self.tell_end(Kind.REQUEST_FAILED, reason, work)
-        self.finish_request(work, FAILED)
-        for attempt in list(work.live.values()):
+        if not work.finished:
+            self.tell_end(EventKind.REQUEST_FAILED, reason, work)
+        self.finish_request(work, FAILED_RESPONSE)
+        for attempt in list(work.active_attempts.values()):
             self.server_connections.cancel_attempt(attempt, "cancelled")
         self.feed(api.Gone(work.id))
 
@@ -221,7 +227,7 @@
         try:
             self.server_table.validate(listing, source_current=source in (0, self.discovery_generation))
         except ValueError as err:
-            self.event_log.tell(Kind.LIST_NOT_APPLIED, str(err), version=listing.version)
+            self.event_log.log(EventKind.LIST_NOT_APPLIED, str(err), version=listing.version)
             raise
 
     def list_failed(self) -> None:
@@ -230,24 +236,24 @@
 
     # Clients
 
-    def handle_command(self, slot: Slot, command: object) -> None:
+    def handle_command(self, slot: ResponseSlot, command: object) -> None:
         if command == [b"PING"] or command == [b"ping"]:
             slot.reply(PONG if self.ready and not self.stopping else b"-ERR not ready\r\n")
             return
         try:
             self.accept_request(slot, command)
         except BadRequest as err:
-            self.event_log.note(Kind.REQUEST_NOT_TAKEN, str(err))
+            self.event_log.count(EventKind.REQUEST_NOT_TAKEN, str(err))
             slot.reply(b"-ERR %s\r\n" % str(err).encode())
         except Exception:
             log.exception("a command could not be taken")
-            if slot.answer is None:
-                slot.reply(FAILED)
+            if slot.response is None:
+                slot.reply(FAILED_RESPONSE)
 
-    def accept_request(self, slot: Slot, told: object) -> None:
+    def accept_request(self, slot: ResponseSlot, told: object) -> None:
         """Takes a request on, or refuses it at once; raises BadRequest."""
-        command = check_form(told)
-        request = read_request(command, self.settings, RESPONSE_MARGIN + slot.client.waited())
+        command = validate_command(told)
+        request = parse_request(command, self.settings, RESPONSE_MARGIN + slot.connection.read_delay())
         if request.id in self.active_requests:
             raise BadRequest("this id is in work")
         verdict = may_take_request(
@@ -258,87 +264,87 @@
             most_held=self.most_held,
         )
         if verdict is not Verdict.ALLOWED:
-            self.event_log.note(Kind.REQUEST_REFUSED, verdict.value)
+            self.event_log.count(EventKind.REQUEST_REFUSED, verdict.value)
             slot.reply(BUSY)
             return
         now = time.monotonic()
-        work = Work(request.id, slot, command, now + request.left)
-        slot.token, slot.due = (
+        work = ActiveRequest(request.id, slot, command, now + request.left)
+        slot.active_request, slot.expires_at = (
             work,
             now + min(request.left + RESPONSE_MARGIN, self.longest) + LATE_ANSWER_GRACE,
         )
         self.active_requests[request.id] = work
         self.held_body_bytes += len(command[-1])
-        work.guard = self.loop.call_later(
+        work.deadline_timer = self.loop.call_later(
             max(0.0, request.left + RESPONSE_MARGIN - DEADLINE_GUARD_MARGIN), self.fail_overdue, work
         )
         self.feed(request)
 
-    def handle_client_gone(self, slot: Slot) -> None:
+    def handle_client_gone(self, slot: ResponseSlot) -> None:
         """The client went away: nothing more is sent for its request."""
-        work = slot.token
-        if work is not None and not work.over:
+        work = slot.active_request
+        if work is not None and not work.finished:
             self.finish_request(work, b"")
             self.feed(api.Gone(work.id))
 
-    def fail_overdue(self, work: Work) -> None:
+    def fail_overdue(self, work: ActiveRequest) -> None:
         """Guards the client's deadline against a module that says nothing."""
-        if not work.over:
+        if not work.finished:
             self.abort_request(work, "no decision before its deadline")
 
-    def finish_request(self, work: Work, answer: bytes) -> None:
+    def finish_request(self, work: ActiveRequest, answer: bytes) -> None:
         """The one place where a request gets its final answer."""
-        if work.over:
+        if work.finished:
             return
-        work.become(RequestState.ANSWERED)
-        if work.guard is not None:
-            work.guard.cancel()
+        work.transition_to(RequestState.ANSWERED)
+        if work.deadline_timer is not None:
+            work.deadline_timer.cancel()
         if answer:
             work.slot.reply(answer)
-        for attempt in list(work.live.values()):
+        for attempt in list(work.active_attempts.values()):
             if not attempt.written:  # after the final answer nothing more is sent
                 self.server_connections.cancel_attempt(attempt, "cancelled")
         self.forget(work)
 
-    def forget(self, work: Work) -> None:
-        if work.over and not work.live and self.active_requests.pop(work.id, None):
-            work.become(RequestState.FORGOTTEN)
+    def forget(self, work: ActiveRequest) -> None:
+        if work.finished and not work.active_attempts and self.active_requests.pop(work.id, None):
+            work.transition_to(RequestState.REMOVED)
             self.held_body_bytes -= len(work.command[-1])
 
-    def tell_end(self, kind: Kind, reason: str, work: Work) -> None:
+    def tell_end(self, kind: EventKind, reason: str, work: ActiveRequest) -> None:
         """Notes why a request is given up."""
-        client = work.slot.client
+        client = work.slot.connection
         ids = {"id": work.id, "connection": client.number, "state": client.state.value}
-        self.event_log.tell(kind, reason, **ids, attempts=work.begun)
+        self.event_log.log(kind, reason, **ids, attempts=work.attempts_written)
 
     # Actions
 
     def refuse(self, action: api.Refuse) -> None:
         if action.id in self.active_requests:
-            self.tell_end(Kind.REQUEST_REFUSED, action.reason, self.active_requests[action.id])
+            self.tell_end(EventKind.REQUEST_REFUSED, action.reason, self.active_requests[action.id])
             wait = math.ceil(action.retry_after * 1000)
             self.finish_request(self.active_requests[action.id], b"-BUSY %d\r\n" % wait if wait > 0 else BUSY)
 
     def fail(self, action: api.Fail) -> None:
         if action.id in self.active_requests:
-            self.tell_end(Kind.REQUEST_FAILED, action.reason, self.active_requests[action.id])
-            self.finish_request(self.active_requests[action.id], FAILED)
+            self.tell_end(EventKind.REQUEST_FAILED, action.reason, self.active_requests[action.id])
+            self.finish_request(self.active_requests[action.id], FAILED_RESPONSE)
 
     def send(self, action: api.Send) -> None:
         work = self.active_requests.get(action.id)
-        if work is None or work.over:
+        if work is None or work.finished:
             return
-        number = work.sends
-        work.sends += 1
+        number = work.attempts_created
+        work.attempts_created += 1
         attempt = Attempt(action.host, self.prepare_payload, self.attempt_done, (work, number))
         attempt.retry_until, attempt.slow_start = action.repeat_until, action.cold
-        verdict = self.control.judge(attempt, late=False)
+        verdict = self.control.may_write(attempt, connected_late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
                 self.finish_request(work, b"")
-            self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
+            self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, work.finished))
             return
-        work.live[number] = attempt
+        work.active_attempts[number] = attempt
         attempt.permitted = True  # for as long as this step lasts
         left = work.deadline - time.monotonic()
         self.server_connections.send(attempt, min(left, action.timeout) if action.timeout > 0 else left)
@@ -353,24 +359,24 @@
         be sent any more."""
         work, _ = attempt.tag
         if not attempt.permitted:
-            verdict = self.control.judge(attempt, late=True)
+            verdict = self.control.may_write(attempt, connected_late=True)
             if verdict is not Verdict.ALLOWED:
                 if verdict is Verdict.CLIENT_GONE:
                     self.handle_client_gone(work.slot)
                 return None
-        return self.control.write(attempt)
+        return self.control.prepare_write(attempt)
 
     def attempt_done(self, attempt: Attempt) -> None:
         work, number = attempt.tag
-        result, over = attempt.result, work.over
-        del work.live[number]
+        result, over = attempt.result, work.finished
+        del work.active_attempts[number]
         if result != "ok":
             ids = {"id": work.id, "attempt": number, "server": attempt.server, "state": work.state.value}
-            self.event_log.tell(Kind.ATTEMPT_ENDED, result, **ids)
+            self.event_log.log(EventKind.ATTEMPT_ENDED, result, **ids)
         if over and (result == "connect_failed" or result in api.NEVER_BEGAN):
             result = "moot"  # called off before it was sent, which says nothing of the host
         elif result == "ok" and not over:
-            self.finish_request(work, bulk(attempt.value))
+            self.finish_request(work, encode_bulk_string(attempt.value))
         self.forget(work)
         self.feed(
             api.Outcome(
@@ -379,7 +385,7 @@
                 attempt.server,
                 result,
                 attempt.elapsed(),
-                work.over,
+                work.finished,
                 used=attempt.quota_usage,
                 report=attempt.report,
             )
@@ -387,8 +393,8 @@
 
     def cancel(self, action: api.Cancel) -> None:
         work = self.active_requests.get(action.id)
-        if work is not None and action.attempt in work.live:
-            self.server_connections.cancel_attempt(work.live[action.attempt], "cancelled")
+        if work is not None and action.attempt in work.active_attempts:
+            self.server_connections.cancel_attempt(work.active_attempts[action.attempt], "cancelled")
 
     def probe(self, action: api.Probe) -> None:
         self.server_connections.probe(action.host, self.probed)
@@ -425,9 +431,9 @@
         began = time.monotonic()
         self.become(ProcessState.LINGERING)
         await asyncio.sleep(LINGER)
-        await self.clients.no_more()
+        await self.clients.stop_accepting()
         self.become(ProcessState.FINISHING)
-        self.clients.finish()
+        self.clients.drain()
         await self.idle(began + self.shutdown_timeout)
         self.become(ProcessState.REFUSING)
         for work in list(self.active_requests.values()):
@@ -447,5 +453,5 @@
 
     async def idle(self, until: float) -> None:
         """Waits for nothing to be in work, and all answers to be written and their connections closed."""
-        while (self.active_requests or self.clients.clients) and time.monotonic() < until:
+        while (self.active_requests or self.clients.connections) and time.monotonic() < until:
             await asyncio.sleep(STEP)
--- a/tests/test_net_server_list.py
+++ b/tests/test_net_server_list.py
@@ -8,7 +8,7 @@
 from test_net_discovery import Agent, sendable
 
 from calicomast.net import discovery, gateway, server_list, server_table
-from calicomast.net.events import Kind
+from calicomast.net.events import EventKind
 from calicomast.net.json_stream import LONGEST_VALUE, JsonArrayReader
 from calicomast.net.server_list import CHUNK_BYTES, ServerListReader, parse_server_list
 from calicomast.net.server_table import COMPARED, SLICE, ServerTable
@@ -362,4 +362,4 @@
         with pytest.raises(ValueError, match="replaced"):
             next(slices)
         assert len(node.service.server_table.entries) == held < 3 * SLICE
-        assert node.service.event_log.counts[Kind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
+        assert node.service.event_log.counts[EventKind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
