--- a/calicomast/adapter.py
+++ b/calicomast/adapter.py
@@ -12,7 +12,7 @@
 
 from calicomast import interface as api
 from calicomast.policy import Gateway
-from calicomast.settings import NS, flag, read_report, read_settings, seconds
+from calicomast.settings import NS, flag, read_load_report, read_settings, seconds
 
 STATE = {"U": "up", "L": "leaving", "D": "down"}
 RESULT = {
@@ -49,18 +49,20 @@
 
 
 def _stats(f: dict[str, str]) -> dict[str, float]:
-    return read_report(pair.split(":", 1) for pair in f.get("server_stats", "").split(",") if ":" in pair)
+    return read_load_report(
+        pair.split(":", 1) for pair in f.get("server_stats", "").split(",") if ":" in pair
+    )
 
 
-def _host(f: dict[str, str]) -> api.Host:
-    return api.Host(
+def _host(f: dict[str, str]) -> api.Server:
+    return api.Server(
         id=f["host"],
         zone=f.get("zone", ""),
         cell=int(f.get("unit_group", 0)),
         weight=float(f.get("heft", 1)),
         kind=f.get("flavor", ""),
         state=STATE[f["availability"]],
-        started=seconds(f.get("ready_at", "0")),
+        started_at=seconds(f.get("ready_at", "0")),
     )
 
 
@@ -68,15 +70,15 @@
     marks = int(f.get("marks", 0))
     return api.Request(
         id=f["txn"],
-        left=seconds(f["patience_left"]),
-        customer=f["customer"],
+        remaining_time=seconds(f["patience_left"]),
+        tenant=f["customer"],
         plan=f["tier"],
-        cls=f["type"],
+        service_class=f["type"],
         units=float(f["cost_units"]),
-        first=int(float(f.get("first", 0))),
+        first_gateway=int(float(f.get("first", 0))),
         spread=int(float(f["n_entries"])),
-        repeat=bool(marks & 2),
-        write=bool(marks & 4),
+        is_retry=bool(marks & 2),
+        is_write=bool(marks & 4),
     )
 
 
@@ -84,40 +86,40 @@
     return api.Outcome(
         id=f["txn"],
         attempt=int(f["attempt"]),
-        host=f["host"],
+        server=f["host"],
         result=RESULT[f["reason"]],
         elapsed=seconds(f.get("time_taken", "0")),
         final=flag(f, "terminal"),
-        used=int(float(f.get("fleet_use", 0))),
-        actual=float(f.get("actual", 0)),
+        quota_use=int(float(f.get("fleet_use", 0))),
+        actual_units=float(f.get("actual", 0)),
         report=_stats(f),
     )
 
 
-def _memo(f: dict[str, str]) -> api.Message:
-    return api.Message(sender=int(f["from"]), data=bytes.fromhex(f["octets"].strip("-")))
+def _memo(f: dict[str, str]) -> api.PeerMessage:
+    return api.PeerMessage(sender=int(f["from"]), data=bytes.fromhex(f["octets"].strip("-")))
 
 
 READERS = {
     "WORK_ITEM": _work_item,
     "REPORT_BACK": _outcome,
-    "ADDED": lambda f: api.Counted(
+    "ADDED": lambda f: api.CounterResult(
         name=int(f["entry_name"]),
         result=RESULT[f["reason"]],
         total=float(f.get("now_at", 0)),
         elapsed=seconds(f.get("time_taken", "0")),
     ),
-    "PING_RESULT": lambda f: api.Probed(
-        host=f["host"],
+    "PING_RESULT": lambda f: api.ProbeResult(
+        server=f["host"],
         result=RESULT[f["reason"]],
         elapsed=seconds(f.get("time_taken", "0")),
         report=_stats(f),
     ),
-    "DUE": lambda f: api.Timer(label=int(f["label"])),
-    "BEGUN": lambda f: api.Began(
-        id=f["txn"], attempt=int(f["attempt"]), host=f["host"], elapsed=seconds(f.get("time_taken", "0"))
+    "DUE": lambda f: api.TimerExpired(label=int(f["label"])),
+    "BEGUN": lambda f: api.AttemptStarted(
+        id=f["txn"], attempt=int(f["attempt"]), server=f["host"], elapsed=seconds(f.get("time_taken", "0"))
     ),
-    "DROPPED": lambda f: api.Gone(id=f["txn"]),
+    "DROPPED": lambda f: api.ClientDisconnected(id=f["txn"]),
     "MEMO": _memo,
 }
 
@@ -127,18 +129,18 @@
 
 
 WRITERS = {
-    api.Send: lambda i, a: f"ASSIGN i={i} txn={a.id} timeout={_ns(a.timeout)} host={a.host}",
+    api.Send: lambda i, a: f"ASSIGN i={i} txn={a.id} timeout={_ns(a.timeout)} host={a.server}",
     api.Refuse: lambda i, a: f"DECLINE i={i} txn={a.id} hold_off={_ns(a.retry_after)}",
     api.Fail: lambda i, a: f"DROP_REQUEST i={i} txn={a.id}",
     api.Cancel: lambda i, a: f"REVOKE i={i} txn={a.id} attempt={a.attempt}",
-    api.Count: lambda i, a: (
+    api.AddToCounter: lambda i, a: (
         f"CHARGE_COUNTER i={i} entry_name={a.name} by={a.amount:.7g} forget_after={_ns(a.lifetime)}"
     ),
     api.SetTimer: lambda i, a: f"AFTER i={i} sleep_for={_ns(a.delay)} label={a.label}",
-    api.Probe: lambda i, a: f"TOUCH i={i} host={a.host}",
-    api.Close: lambda i, a: f"RELEASE i={i} host={a.host}",
-    api.Fetch: lambda i, a: f"PULL i={i}",
-    api.Watch: lambda i, a: f"WATCH i={i} active={int(a.on)}",
+    api.Probe: lambda i, a: f"TOUCH i={i} host={a.server}",
+    api.CloseConnections: lambda i, a: f"RELEASE i={i} host={a.server}",
+    api.FetchServerList: lambda i, a: f"PULL i={i}",
+    api.WatchServerList: lambda i, a: f"WATCH i={i} active={int(a.enabled)}",
     api.Log: lambda i, a: f"REMARK i={i} words={a.text}",
 }
 
@@ -166,7 +168,7 @@
         self.line = line.rstrip("\r\n")
         return self.line
 
-    def _hosts(self, count: int) -> tuple[api.Host, ...]:
+    def _hosts(self, count: int) -> tuple[api.Server, ...]:
         hosts = []
         for _ in range(count):
             line = self._next() or ""
@@ -191,10 +193,10 @@
                 self.gateways.pop(inst, None)
                 return
             elif word == "TARGETS":
-                event = api.HostList(
+                event = api.ServerListUpdate(
                     mode=f["mode"],
                     version=int(f.get("index", 0)),
-                    hosts=self._hosts(int(f.get("rows_in", 0))),
+                    servers=self._hosts(int(f.get("rows_in", 0))),
                 )
             elif word in READERS:
                 event = READERS[word](f)
--- a/calicomast/admission.py
+++ b/calicomast/admission.py
@@ -42,15 +42,17 @@
 
     __slots__ = ("place", "gateways", "rules", "sent")
 
-    def __init__(self, host: api.Host, index: int, gateways: int, rules: api.Rules) -> None:
-        self.place = place(host.id, host.started, index, gateways)
+    def __init__(self, host: api.Server, index: int, gateways: int, rules: api.Rules) -> None:
+        self.place = place(host.id, host.started_at, index, gateways)
         self.gateways, self.rules = gateways, rules
         # Times and charges of what was sent within the time of the rule, by request and attempt.
         self.sent: dict[tuple[str, int], tuple[float, float]] = {}
 
     def budget(self, warmth: float, capacity: float) -> float:
         """Requests of mean work that all gateways together may send in the time of the rule."""
-        return max(1.0, COLD_PART * self.rules.fall_multiple * warmth * capacity * self.rules.fall_time)
+        return max(
+            1.0, COLD_PART * self.rules.overload_multiple * warmth * capacity * self.rules.overload_window
+        )
 
     def left(self, now: float, warmth: float, capacity: float) -> float:
         """The charge that may still be sent from here now. `warmth`: the part of its capacity that the server
@@ -59,7 +61,7 @@
         budget = self.budget(warmth, capacity)
         share = int(budget / self.gateways) + (self.place < budget % self.gateways)
         if self.sent:
-            since = now - self.rules.fall_time
+            since = now - self.rules.overload_window
             self.sent = {key: noted for key, noted in self.sent.items() if noted[0] > since}
         return share - sum(charge for _, charge in self.sent.values())
 
--- a/calicomast/interface.py
+++ b/calicomast/interface.py
@@ -13,11 +13,21 @@
 SCOPES = ("all", "zone", "cell")
 # An attempt never began, for a reason that is none of the server's. "unsent": this machine could not connect;
 # "withheld": it may not begin any more at the moment at which it could, see rules.py.
-NEVER_BEGAN = ("unsent", "withheld")
-RESULTS = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", *NEVER_BEGAN)
-COUNT_RESULTS = ("ok", "full", "connect_failed", "timeout", "spoilt")  # spoilt: added, total not known
-HOST_STATES = ("up", "leaving", "down")
-MODES = ("delta", "full", "cached", "failed")
+NOT_STARTED_RESULTS = ("unsent", "withheld")
+ATTEMPT_RESULTS = (
+    "ok",
+    "error",
+    "full",
+    "timeout",
+    "connect_failed",
+    "reset",
+    "cancelled",
+    "moot",
+    *NOT_STARTED_RESULTS,
+)
+COUNTER_RESULTS = ("ok", "full", "connect_failed", "timeout", "spoilt")  # spoilt: added, total not known
+SERVER_STATES = ("up", "leaving", "down")
+SERVER_LIST_MODES = ("delta", "full", "cached", "failed")
 
 
 def _need(ok: bool, text: str) -> None:
@@ -28,21 +38,24 @@
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
     name: str
-    aim: float  # an answer within this earns full worth
+    latency_target: float  # an answer within this earns full worth
     deadline: float
     effect: str
-    scope: str  # keyed only: the hosts that discard a repeat
-    memory: float  # keyed only: for how long they do
-    worth: float
-    late_worth: float
-    stream: bool
-    aim_stretch: float
+    dedup_scope: str  # keyed only: the hosts that discard a repeat
+    dedup_window: float  # keyed only: for how long they do
+    value: float
+    late_value: float
+    streaming: bool
+    latency_target_stretch: float
 
     def __post_init__(self) -> None:
         _need(self.effect in EFFECTS, f"class {self.name}: unknown effect {self.effect!r}")
-        _need(self.scope in SCOPES, f"class {self.name}: unknown scope {self.scope!r}")
-        _need(0 < self.aim and 0 < self.deadline, f"class {self.name}: aim and deadline must be above 0")
-        _need(self.memory >= 0 and self.worth >= 0, f"class {self.name}: negative memory or worth")
+        _need(self.dedup_scope in SCOPES, f"class {self.name}: unknown scope {self.dedup_scope!r}")
+        _need(
+            0 < self.latency_target and 0 < self.deadline,
+            f"class {self.name}: aim and deadline must be above 0",
+        )
+        _need(self.dedup_window >= 0 and self.value >= 0, f"class {self.name}: negative memory or worth")
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,10 +63,10 @@
     name: str
     rate: float  # units a second; 0: no such quota
     burst: float  # units
-    open_limit: int  # attempts out at once over all gateways; 0: no such quota
-    price: float
-    over_worth: float
-    over_cost: float
+    concurrency_limit: int  # attempts out at once over all gateways; 0: no such quota
+    value_factor: float
+    over_quota_value: float
+    over_quota_cost: float
     ceiling_rate: float  # units a second; 0: no ceiling
     ceiling_burst: float
     ceiling_slack: float
@@ -62,10 +75,10 @@
         low = min(
             self.rate,
             self.burst,
-            self.open_limit,
-            self.price,
-            self.over_worth,
-            self.over_cost,
+            self.concurrency_limit,
+            self.value_factor,
+            self.over_quota_value,
+            self.over_quota_cost,
             self.ceiling_rate,
             self.ceiling_burst,
             self.ceiling_slack,
@@ -78,7 +91,7 @@
 @dataclass(frozen=True, slots=True)
 class Limits:
     cancel: bool
-    second_copies: bool
+    hedging: bool
     probes: bool
     peers: bool
     retry_after: bool
@@ -93,15 +106,15 @@
 class Rules:
     answer_slack: float
     drain_grace: float
-    cold_share: float  # share of its capacity that a fresh host has at least
-    cold_time: float  # it is warm within this
-    fall_multiple: float
-    fall_time: float
-    ask_within: float  # discovery on request only
+    slow_start_initial_share: float  # share of its capacity that a fresh host has at least
+    slow_start_duration: float  # it is warm within this
+    overload_multiple: float
+    overload_window: float
+    max_fetch_interval: float  # discovery on request only
 
     def __post_init__(self) -> None:
-        _need(0 <= self.cold_share <= 1, "cold_share must lie in 0..1")
-        low = min(self.drain_grace, self.cold_time, self.fall_multiple, self.fall_time)
+        _need(0 <= self.slow_start_initial_share <= 1, "cold_share must lie in 0..1")
+        low = min(self.drain_grace, self.slow_start_duration, self.overload_multiple, self.overload_window)
         _need(low >= 0, "negative rule figure")
 
 
@@ -119,11 +132,11 @@
     counter_price: float
     counter_timeout: float
     meter_period: float
-    settles: bool
-    most_units: float
+    settles_actual_units: bool
+    max_request_units: float
     discovery: str  # "push" or "ask"
-    reports: tuple[str, ...]
-    weights: str  # meaning of a host's weight
+    report_fields: tuple[str, ...]
+    weight_meaning: str  # meaning of a host's weight
 
     def __post_init__(self) -> None:
         _need(0 <= self.index < self.gateways, "index must lie in 0..gateways-1")
@@ -133,42 +146,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Host:
+class Server:
     id: str
     zone: str
     cell: int
     weight: float
     kind: str
     state: str  # "up", "leaving" or "down"
-    started: float  # clock time of its last start; 0: long ago
+    started_at: float  # clock time of its last start; 0: long ago
 
     def __post_init__(self) -> None:
-        if self.state not in HOST_STATES:  # a list has very many of them: no text is made in vain
+        if self.state not in SERVER_STATES:  # a list has very many of them: no text is made in vain
             raise ValueError(f"host {self.id}: unknown state {self.state!r}")
 
 
 @dataclass(frozen=True, slots=True)
-class HostList:
+class ServerListUpdate:
     mode: str  # one of MODES
     version: int
-    hosts: tuple[Host, ...]
+    servers: tuple[Server, ...]
 
     def __post_init__(self) -> None:
-        _need(self.mode in MODES, f"unknown list mode {self.mode!r}")
+        _need(self.mode in SERVER_LIST_MODES, f"unknown list mode {self.mode!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
     id: str
-    left: float  # until the client gives up
-    customer: str
+    remaining_time: float  # until the client gives up
+    tenant: str
     plan: str
-    cls: str
+    service_class: str
     units: float
-    first: int  # the customer's gateways: `spread` in a row from this one
+    first_gateway: int  # the customer's gateways: `spread` in a row from this one
     spread: int
-    repeat: bool = False
-    write: bool = False
+    is_retry: bool = False
+    is_write: bool = False
 
     def __post_init__(self) -> None:
         _need(self.units >= 0, f"request {self.id}: negative units")
@@ -179,71 +192,81 @@
 class Outcome:
     id: str
     attempt: int
-    host: str
+    server: str
     result: str
     elapsed: float
     final: bool
-    used: int = 0  # 1 + percent of the customer's rate used in the last metered period; 0: none
-    actual: float = 0  # units that the request really counted; 0: none
+    quota_use: int = 0  # 1 + percent of the customer's rate used in the last metered period; 0: none
+    actual_units: float = 0  # units that the request really counted; 0: none
     report: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        _need(self.result in RESULTS, f"unknown result {self.result!r}")
+        _need(self.result in ATTEMPT_RESULTS, f"unknown result {self.result!r}")
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class CounterResult:
     name: int
     result: str
     total: float
     elapsed: float
 
     def __post_init__(self) -> None:
-        _need(self.result in COUNT_RESULTS, f"unknown counter result {self.result!r}")
+        _need(self.result in COUNTER_RESULTS, f"unknown counter result {self.result!r}")
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
-    host: str
+class ProbeResult:
+    server: str
     result: str
     elapsed: float
     report: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Timer:
+class TimerExpired:
     label: int
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class AttemptStarted:
     id: str
     attempt: int
-    host: str
+    server: str
     elapsed: float
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class ClientDisconnected:
     id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
+class PeerMessage:
     sender: int
     data: bytes
 
 
-Event = HostList | Request | Outcome | Counted | Probed | Timer | Began | Gone | Message
+Event = (
+    ServerListUpdate
+    | Request
+    | Outcome
+    | CounterResult
+    | ProbeResult
+    | TimerExpired
+    | AttemptStarted
+    | ClientDisconnected
+    | PeerMessage
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
     id: str
-    host: str
+    server: str
     timeout: float = 0  # 0: until the client gives up
-    repeat_until: float = math.inf  # clock time by which it has to be written, as a repeat
-    cold: bool = False  # a write that is late needs Gateway.admits_late
+    retry_deadline: float = math.inf  # clock time by which it has to be written, as a repeat
+    slow_start: bool = False  # a write that is late needs Gateway.admits_late
 
 
 @dataclass(frozen=True, slots=True)
@@ -266,7 +289,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class AddToCounter:
     name: int
     amount: float
     lifetime: float
@@ -280,22 +303,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    host: str
+    server: str
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
-    host: str
+class CloseConnections:
+    server: str
 
 
 @dataclass(frozen=True, slots=True)
-class Fetch:
+class FetchServerList:
     """Ask discovery for the whole list, once."""
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
-    on: bool
+class WatchServerList:
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -303,4 +326,16 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Count | SetTimer | Probe | Close | Fetch | Watch | Log
+Action = (
+    Send
+    | Refuse
+    | Fail
+    | Cancel
+    | AddToCounter
+    | SetTimer
+    | Probe
+    | CloseConnections
+    | FetchServerList
+    | WatchServerList
+    | Log
+)
--- a/calicomast/leases.py
+++ b/calicomast/leases.py
@@ -72,7 +72,7 @@
 
     def kept(self, pending: PendingRequest) -> float:
         """Kept for classes that earn more with a unit; binds subset the end of a quota only."""
-        return RESERVE * pending.plan.burst * (1 - pending.cls.worth / self.top) if self.top else 0.0
+        return RESERVE * pending.plan.burst * (1 - pending.cls.value / self.top) if self.top else 0.0
 
     def spare(self, now: float, pending: PendingRequest) -> float:
         return pending.acct.room(now) - self.kept(pending) - pending.req.units
@@ -160,9 +160,9 @@
 
     def count(self, name: int, amount: float, life: float, call: Call) -> None:
         self.calls.setdefault(name, []).append(call)
-        self.out.append(api.Count(name, amount, min(60.0, max(life, 1.0))))
+        self.out.append(api.AddToCounter(name, amount, min(60.0, max(life, 1.0))))
 
-    def counted(self, now: float, event: api.Counted) -> None:
+    def counted(self, now: float, event: api.CounterResult) -> None:
         if event.name not in self.calls:
             return
         call, *rest = self.calls.pop(event.name)
@@ -236,11 +236,11 @@
         """Own even part of the open limit; the rest is shared by a count, asked for what that changes, or
         judged by Little's law from the customer's rate, which its units bound, and the time of answers."""
         acct, plan = pending.acct, pending.plan
-        own, shared = divmod(plan.open_limit, acct.spread)
+        own, shared = divmod(plan.concurrency_limit, acct.spread)
         rate = max(acct.total, acct.used) / max(now - acct.start, acct.length / 4)
         mean = min(rate, plan.rate or rate) / max(pending.req.units, 1e-9) * self.fleet.mean[pending.cls.name]
-        over = 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.open_limit))
-        cost = max(0.0, plan.over_cost - plan.over_worth)
+        over = 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.concurrency_limit))
+        cost = max(0.0, plan.over_quota_cost - plan.over_quota_value)
         pending.stage = "slot"
         if acct.open_here < own:
             pending.slot = -1
@@ -254,7 +254,7 @@
             self.count_open(acct, int(now / OPEN_EPOCH) + 1, 1, pending)
             self.check_at(pending.deadline, pending)
             return
-        elif plan.open_limit and (plan.open_limit >= acct.spread or over * cost >= 1 - over):
+        elif plan.concurrency_limit and (plan.concurrency_limit >= acct.spread or over * cost >= 1 - over):
             self.beyond(now, pending, RefusalReason.OPEN_LIMIT)
             return
         self.enqueue(now, pending)
@@ -265,11 +265,11 @@
         call = Call(acct, "slot" if pending else "void", epoch, pending=pending)
         self.count(stable_hash("open", acct.name, epoch), amount, 2 * OPEN_EPOCH, call)
 
-    def slot_counted(self, now: float, event: api.Counted, call: Call) -> None:
+    def slot_counted(self, now: float, event: api.CounterResult, call: Call) -> None:
         pending, acct, ok = call.pending, call.acct, event.result == "ok"
-        if ok and (pending.done or event.total > acct.plan.open_limit % acct.spread):
+        if ok and (pending.done or event.total > acct.plan.concurrency_limit % acct.spread):
             self.count_open(acct, call.window, -1)
-        if ok and not pending.done and event.total > acct.plan.open_limit % acct.spread:
+        if ok and not pending.done and event.total > acct.plan.concurrency_limit % acct.spread:
             self.beyond(now, pending, RefusalReason.OPEN_LIMIT)
         elif not pending.done:
             pending.slot = call.window if ok else 0
--- a/calicomast/membership.py
+++ b/calicomast/membership.py
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, index: int, gateways: int, cells: bool) -> None:
-        self.hosts: dict[str, api.Host] = {}
+        self.hosts: dict[str, api.Server] = {}
         self.up = 0
         self.view: list[tuple[float, str]] = []
         self.cells: dict[int, dict[str, None]] | None = {} if cells else None  # ids in the order listed
@@ -77,7 +77,7 @@
         """Whether a server is up and in view."""
         return self._is_up(server) and (not self.limited or self.rank(server) <= self.bound)
 
-    def tell(self, host: api.Host) -> None:
+    def tell(self, host: api.Server) -> None:
         """Takes a server over as it was told."""
         old = self.hosts.get(host.id)
         was, now = old is not None and old.state == "up", host.state == "up"
@@ -101,7 +101,7 @@
             del self.view[bisect.bisect_left(self.view, place)]
             self._refill()
 
-    def missing(self, named: set[str]) -> list[api.Host]:
+    def missing(self, named: set[str]) -> list[api.Server]:
         """Those held that are not among the ids of a whole list."""
         return [host for name, host in self.hosts.items() if name not in named]
 
@@ -156,7 +156,7 @@
         host = self.hosts.get(server)
         return host is not None and host.state == "up"
 
-    def _note_cell(self, old: api.Host | None, host: api.Host) -> None:
+    def _note_cell(self, old: api.Server | None, host: api.Server) -> None:
         assert self.cells is not None
         if old is not None and (old.cell != host.cell or host.state == "down"):
             mates = self.cells.get(old.cell, {})
--- a/calicomast/net/attempts.py
+++ b/calicomast/net/attempts.py
@@ -55,7 +55,7 @@
                 begun=work.begun,
                 most_attempts=self._limits.max_attempts,
                 others_out=len(work.live) - (number in work.live),
-                second_copies=self._limits.second_copies,
+                second_copies=self._limits.hedging,
                 server_listed=self._listed(attempt.host),
                 start_budget=not (late and attempt.cold)
                 or self._admits_late(self._clock(), work.id, number, attempt.host),
@@ -94,7 +94,7 @@
             return Invariant.ATTEMPT_AFTER_ANSWER
         if work.begun > limits.max_attempts:
             return Invariant.ATTEMPT_LIMIT
-        if len(work.live) > 1 and not limits.second_copies:
+        if len(work.live) > 1 and not limits.hedging:
             return Invariant.SECOND_ATTEMPT
         if attempt.repeat_until < math.inf and self._clock() > attempt.repeat_until + HOLD_UP:
             return Invariant.REPEAT_WINDOW
--- a/calicomast/net/config.py
+++ b/calicomast/net/config.py
@@ -25,19 +25,19 @@
     discovery: Address
     counter: Address | None
     seed: int
-    memory: int  # bytes past which the process is killed
-    sockets: int  # file descriptors that the process may hold
-    known: Listing  # the hosts as this gateway last had them; it may be old
+    memory_limit: int  # bytes past which the process is killed
+    max_sockets: int  # file descriptors that the process may hold
+    known_servers: Listing  # the hosts as this gateway last had them; it may be old
     settings: api.Settings
     connect_timeout: float
-    idle_close: float  # hosts close a connection that has stood idle for this long
-    max_open: int  # requests in work at once
+    server_idle_timeout: float  # hosts close a connection that has stood idle for this long
+    max_active_requests: int  # requests in work at once
 
 
-def read_file(path: str, keep_known: bool) -> Generator[None, None, tuple[dict[str, Any], Listing]]:
+def read_file(path: str, keep_servers: bool) -> Generator[None, None, tuple[dict[str, Any], Listing]]:
     """What the file says, and the list of servers in it. It is read in pieces, as the list may be long, and
     gives way between them."""
-    reader = ListReader(("known", "servers"), "cached", keep=keep_known)
+    reader = ListReader(("known", "servers"), "cached", keep=keep_servers)
     with open(path, "rb") as file:
         while piece := file.read(PIECE):
             yield from reader.feed(piece)
@@ -49,9 +49,9 @@
     return told, reader.listing()
 
 
-def read_config(env: Mapping[str, str] = os.environ, again: bool = False) -> Config:
-    """The configuration; raises ConfigError. `again`: see config_steps."""
-    steps = config_steps(env, again)
+def read_config(env: Mapping[str, str] = os.environ, reload: bool = False) -> Config:
+    """The configuration; raises ConfigError. `reload`: see read_config_incrementally."""
+    steps = read_config_incrementally(env, reload)
     while True:
         try:
             next(steps)
@@ -59,19 +59,19 @@
             return end.value
 
 
-def config_steps(
-    env: Mapping[str, str] = os.environ, again: bool = False, keep_known: bool = True
+def read_config_incrementally(
+    env: Mapping[str, str] = os.environ, reload: bool = False, keep_servers: bool = True
 ) -> Generator[None, None, Config]:
     """Reads the configuration in steps of about a millisecond; raises ConfigError.
 
-    `again`: the file was replaced since the start, so the discovery that it names is newer than the one that
-    the environment named. `keep_known`: whether the list of servers in it is wanted.
+    `reload`: the file was replaced since the start, so the discovery that it names is newer than the one that
+    the environment named. `keep_servers`: whether the list of servers in it is wanted.
     """
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
     try:
-        told, known = yield from read_file(path, keep_known)
+        told, known = yield from read_file(path, keep_servers)
         tree = told["settings"]
         limits = tree["limits"]
         settings = read_settings(tree)
@@ -81,16 +81,16 @@
         return Config(
             name=env.get("RELAY_NAME") or told["name"],
             listen=read_address(env.get("RELAY_LISTEN") or told["listen"]),
-            discovery=read_address((not again and env.get("RELAY_DISCOVERY")) or told["discovery"]),
+            discovery=read_address((not reload and env.get("RELAY_DISCOVERY")) or told["discovery"]),
             counter=read_address(counter) if counter else None,
             seed=int(told["seed"], 16),
-            memory=int(told["limits"]["memory_mb"]) * 1024 * 1024,
-            sockets=int(told["limits"]["sockets"]),
-            known=known,
+            memory_limit=int(told["limits"]["memory_mb"]) * 1024 * 1024,
+            max_sockets=int(told["limits"]["sockets"]),
+            known_servers=known,
             settings=settings,
             connect_timeout=seconds(limits["connect_timeout"]),
-            idle_close=seconds(limits["idle_close"]),
-            max_open=int(limits["max_open"]),
+            server_idle_timeout=seconds(limits["idle_close"]),
+            max_active_requests=int(limits["max_open"]),
         )
     except KeyError as err:
         raise ConfigError(f"{path}: missing or unknown {err}") from err
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -1,7 +1,8 @@
 """Feeds what happens on the sockets to the one decision module and carries out what it decides.
 
 Nothing here decides. This file owns the timers and each request's single final answer. Each event and action
-of interface.py has its place here, but for Began and Message: the sockets know no streams and no peers.
+of interface.py has its place here, but for AttemptStarted and PeerMessage: the sockets know no streams
+and no peers.
 """
 
 from __future__ import annotations
@@ -72,37 +73,41 @@
         self.log = EventLog()
         longest = self.longest = max(cls.deadline for cls in self.settings.classes.values())
         self.finish_time = min(longest, KILL_MOST) + KILL_MORE - min(KILL_MARGIN, longest / 2)
-        room = max(config.sockets - SPARE_SOCKETS, config.sockets // 2)
+        room = max(config.max_sockets - SPARE_SOCKETS, config.max_sockets // 2)
         # Bodies in work and half commands are bounded: past the limit of memory the program is killed.
-        self.most_held = max(LEAST_HELD, (config.memory - OWN_MEMORY) // 4)
+        self.most_held = max(LEAST_HELD, (config.memory_limit - OWN_MEMORY) // 4)
         self.clients = ClientServer(self, room // 2, self.most_held, self.log)
         self.servers = ServerTable(self.feed, lambda server: self.hosts.stop(server), self.clock.started)
-        self.hosts = Hosts(config.connect_timeout, config.idle_close, room // 2, self.servers.address)
+        self.hosts = Hosts(
+            config.connect_timeout, config.server_idle_timeout, room // 2, self.servers.address
+        )
         self.control = AttemptControl(
             config.settings, self.clock, self.servers.listed, self.admits_late, self.log
         )
         self.counter = Counter(config.counter, self.settings.counter_timeout) if config.counter else None
-        self.most_list = list_bound(config.memory)
+        self.most_list = list_bound(config.memory_limit)
         self.sources = 0  # discoveries that were named one after another
-        self.discovery = self.new_discovery(config, config.known.version, held=bool(config.known.entries))
+        self.discovery = self.new_discovery(
+            config, config.known_servers.version, held=bool(config.known_servers.entries)
+        )
         self.endings: set[asyncio.Task[None]] = set()  # what a new configuration replaced, until it has ended
         self.actions = {
             api.Send: self.send,
             api.Refuse: self.refuse,
             api.Fail: self.fail,
             api.Cancel: self.cancel,
-            api.Count: self.count,
+            api.AddToCounter: self.count,
             api.SetTimer: self.set_timer,
             api.Probe: self.probe,
-            api.Close: lambda a: self.hosts.close_idle(a.host),
-            api.Fetch: lambda a: self.discovery.fetch(),
-            api.Watch: lambda a: self.discovery.watch(a.on),
+            api.CloseConnections: lambda a: self.hosts.close_idle(a.server),
+            api.FetchServerList: lambda a: self.discovery.fetch(),
+            api.WatchServerList: lambda a: self.discovery.watch(a.enabled),
             api.Log: lambda a: log.info("module: %s", a.text),
         }
 
     async def start(self) -> None:
         """All but the listener: before the first client comes the module knows its hosts."""
-        for _ in self.take_list(self.config.known):
+        for _ in self.take_list(self.config.known_servers):
             pass
         self.hosts.start_checks()
         if self.counter:
@@ -120,7 +125,11 @@
             self.log.tell(Kind.CONFIGURATION, Verdict.SHUTTING_DOWN.value)
             return
         old, self.config = self.config, config
-        if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
+        if (old.settings, old.listen, old.max_sockets) != (
+            config.settings,
+            config.listen,
+            config.max_sockets,
+        ):
             log.warning("only new addresses of discovery and counter are taken up before the next start")
         if self.counter and config.counter:
             self.counter.move(config.counter)
@@ -196,7 +205,7 @@
         self.finish(work, FAILED)
         for attempt in list(work.live.values()):
             self.hosts.give_up(attempt, "cancelled")
-        self.feed(api.Gone(work.id))
+        self.feed(api.ClientDisconnected(work.id))
 
     def take_list(self, listing: Listing, source: int = 0) -> Iterator[None]:
         """Takes a list of servers over in slices; raises ValueError if it may not be put in force. `source`:
@@ -220,7 +229,7 @@
 
     def list_failed(self) -> None:
         if self.settings.discovery == "ask":
-            self.feed(api.HostList("failed", self.discovery.version, ()))
+            self.feed(api.ServerListUpdate("failed", self.discovery.version, ()))
 
     # Clients
 
@@ -247,7 +256,7 @@
         verdict = may_take_request(
             ending=self.refusing,
             in_work=len(self.works),
-            most_in_work=self.config.max_open,
+            most_in_work=self.config.max_active_requests,
             held=self.held,
             most_held=self.most_held,
         )
@@ -256,11 +265,13 @@
             slot.reply(BUSY)
             return
         now = time.monotonic()
-        work = Work(request.id, slot, command, now + request.left)
-        slot.token, slot.due = work, now + min(request.left + WAY_BACK, self.longest) + STILL
+        work = Work(request.id, slot, command, now + request.remaining_time)
+        slot.token, slot.due = work, now + min(request.remaining_time + WAY_BACK, self.longest) + STILL
         self.works[request.id] = work
         self.held += len(command[-1])
-        work.guard = self.loop.call_later(max(0.0, request.left + WAY_BACK - GUARD), self.overdue, work)
+        work.guard = self.loop.call_later(
+            max(0.0, request.remaining_time + WAY_BACK - GUARD), self.overdue, work
+        )
         self.feed(request)
 
     def gone(self, slot: Slot) -> None:
@@ -268,7 +279,7 @@
         work = slot.token
         if work is not None and not work.over:
             self.finish(work, b"")
-            self.feed(api.Gone(work.id))
+            self.feed(api.ClientDisconnected(work.id))
 
     def overdue(self, work: Work) -> None:
         """Guards the client's deadline against a module that says nothing."""
@@ -319,13 +330,13 @@
             return
         number = work.sends
         work.sends += 1
-        attempt = Attempt(action.host, self.begin, self.attempt_done, (work, number))
-        attempt.repeat_until, attempt.cold = action.repeat_until, action.cold
+        attempt = Attempt(action.server, self.begin, self.attempt_done, (work, number))
+        attempt.repeat_until, attempt.cold = action.retry_deadline, action.slow_start
         verdict = self.control.judge(attempt, late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
                 self.finish(work, b"")
-            self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
+            self.feed(api.Outcome(work.id, number, action.server, "moot", 0.0, work.over))
             return
         work.live[number] = attempt
         attempt.judged = True  # for as long as this step lasts
@@ -356,7 +367,7 @@
         if result != "ok":
             ids = {"id": work.id, "attempt": number, "server": attempt.host, "state": work.state.value}
             self.log.tell(Kind.ATTEMPT_ENDED, result, **ids)
-        if over and (result == "connect_failed" or result in api.NEVER_BEGAN):
+        if over and (result == "connect_failed" or result in api.NOT_STARTED_RESULTS):
             result = "moot"  # called off before it was sent, which says nothing of the host
         elif result == "ok" and not over:
             self.finish(work, bulk(attempt.value))
@@ -369,7 +380,7 @@
                 result,
                 attempt.elapsed(),
                 work.over,
-                used=attempt.used,
+                quota_use=attempt.used,
                 report=attempt.report,
             )
         )
@@ -380,19 +391,19 @@
             self.hosts.give_up(work.live[action.attempt], "cancelled")
 
     def probe(self, action: api.Probe) -> None:
-        self.hosts.probe(action.host, self.probed)
+        self.hosts.probe(action.server, self.probed)
 
     def probed(self, attempt: Attempt) -> None:
-        self.feed(api.Probed(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
+        self.feed(api.ProbeResult(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
 
-    def count(self, action: api.Count) -> None:
+    def count(self, action: api.AddToCounter) -> None:
         if self.counter is None:
             self.loop.call_soon(self.counted, action.name, "connect_failed", 0.0, 0.0)
         else:
             self.counter.add(action.name, action.amount, action.lifetime, self.counted)
 
     def counted(self, name: int, result: str, total: float, elapsed: float) -> None:
-        self.feed(api.Counted(name, result, total, elapsed))
+        self.feed(api.CounterResult(name, result, total, elapsed))
 
     def set_timer(self, action: api.SetTimer) -> None:
         self.loop.call_later(action.delay, self.due, action.label, self.clock() + action.delay)
@@ -404,7 +415,7 @@
         if left > 0:
             self.loop.call_later(left + 0.001, self.due, label, at)
         else:
-            self.feed(api.Timer(label))
+            self.feed(api.TimerExpired(label))
 
     # The end
 
--- a/calicomast/net/hosts.py
+++ b/calicomast/net/hosts.py
@@ -23,7 +23,7 @@
 from calicomast.net.lifecycle import AttemptState, ServerState, change
 from calicomast.net.listing import Address
 from calicomast.net.own_trouble import is_own_trouble
-from calicomast.settings import read_report
+from calicomast.settings import read_load_report
 
 REST = 0.02  # s after an answer in which what comes behind it can still show itself: some milliseconds late
 IDLE_MARGIN = 0.1  # part of the hosts' idle time by which a connection is closed before them
@@ -45,7 +45,8 @@
 
 class Attempt:
     """One command for one host. `begin` gives what is written, in the same step as the write, or None if it
-    may not begin any more. `done` gets the attempt once, when `result` (of interface.RESULTS) is known.
+    may not begin any more. `done` gets the attempt once, when `result` (of interface.ATTEMPT_RESULTS) is
+    known.
 
     Attributes:
         repeat_until: clock time by which it has to be written, as a repeat.
@@ -112,7 +113,7 @@
         text = text.decode("utf-8", "replace")
     if not isinstance(text, str) or not REPORT.fullmatch(text):
         return {}
-    report = read_report(pair.split("=", 1) for pair in text.rstrip(",").split(","))
+    report = read_load_report(pair.split("=", 1) for pair in text.rstrip(",").split(","))
     return report if all(v <= MOST_LOAD for v in report.values()) else {}
 
 
--- a/calicomast/net/listing.py
+++ b/calicomast/net/listing.py
@@ -37,7 +37,7 @@
 class Entry(NamedTuple):
     """A server as it was listed, and HOST:PORT where it listens; empty where that was not told."""
 
-    host: api.Host
+    host: api.Server
     address: str
 
 
@@ -45,7 +45,7 @@
 class Listing:
     """A list or changes to one."""
 
-    mode: str  # one of interface.MODES
+    mode: str  # one of interface.SERVER_LIST_MODES
     version: int
     entries: list[Entry]
     taken: bool = False  # whether the entries were handed over
@@ -96,7 +96,7 @@
         if address and not ADDRESS.fullmatch(address):
             raise ValueError("addr is not HOST:PORT")
         zone, kind = self.texts(str(told.get("zone", ""))), self.texts(str(told.get("kind", "")))
-        host = api.Host(name, zone, self.cells(cell), self.weights(weight), kind, state, started)
+        host = api.Server(name, zone, self.cells(cell), self.weights(weight), kind, state, started)
         return Entry(host, address)
 
 
--- a/calicomast/net/program.py
+++ b/calicomast/net/program.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from calicomast.net.config import Config, ConfigError, config_steps, read_config
+from calicomast.net.config import Config, ConfigError, read_config, read_config_incrementally
 from calicomast.net.gateway import GatewayNode
 from calicomast.net.own_trouble import is_own_trouble
 
@@ -90,7 +90,7 @@
     until = time.monotonic() + HINDERED
     while True:
         try:
-            return read_config(again=hangups.seen > 0)
+            return read_config(reload=hangups.seen > 0)
         except ConfigError as err:
             if not is_own_trouble(err.__cause__) or time.monotonic() > until:
                 raise
@@ -117,7 +117,7 @@
         if self.again is not None:
             self.again.cancel()
             self.again = None
-        self.steps = config_steps(again=True, keep_known=False)
+        self.steps = read_config_incrementally(reload=True, keep_servers=False)
         self.proceed(self.steps)
 
     def proceed(self, steps: Generator[None, None, Config]) -> None:
--- a/calicomast/net/requests.py
+++ b/calicomast/net/requests.py
@@ -128,7 +128,7 @@
         raise BadRequest("class does not go with this command")
     gateways = settings.gateways
     if not (
-        0 < units <= settings.most_units
+        0 < units <= settings.max_request_units
         and 1 <= spread <= gateways
         and first < gateways
         and left <= MOST_LEFT
--- a/calicomast/net/server_table.py
+++ b/calicomast/net/server_table.py
@@ -120,22 +120,24 @@
         for entry in entries:
             if entry.host.state == "up":
                 self._hold(entry)
-        self._feed(api.HostList(mode, version, tuple([self._on_our_clock(entry.host) for entry in entries])))
+        self._feed(
+            api.ServerListUpdate(mode, version, tuple([self._on_our_clock(entry.host) for entry in entries]))
+        )
         for entry in entries:
             if entry.host.state != "up":
                 self._leave(entry)
 
-    def _on_our_clock(self, host: api.Host) -> api.Host:
+    def _on_our_clock(self, host: api.Server) -> api.Server:
         """The server with its start on this gateway's clock, worked out once for each start."""
-        if host.started == LONG_AGO:
+        if host.started_at == LONG_AGO:
             return host
         told, started = self._starts.get(host.id, (None, 0.0))
-        if told != host.started:
-            started = self._started(host.started)
-            self._starts[host.id] = host.started, started
+        if told != host.started_at:
+            started = self._started(host.started_at)
+            self._starts[host.id] = host.started_at, started
         if host.state == "down":
             del self._starts[host.id]
-        return dataclasses.replace(host, started=started)
+        return dataclasses.replace(host, started_at=started)
 
     def _hold(self, entry: Entry) -> None:
         held = self.entries.get(entry.host.id)
--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -44,7 +44,7 @@
         self.calls: dict[int, list[Call]] = {}  # by count name, in order of the calls
         self.units = 0.0  # running mean of a request's
         self.budget = RETRY_START / settings.gateways
-        self.top = max(c.worth for c in settings.classes.values())
+        self.top = max(c.value for c in settings.classes.values())
         self.checks: list[tuple[float, str]] = []  # when which request is to be looked at
         self.timer_at = self.watch_at = math.inf
         self.trial_at = 0.0  # when the queue is looked at for a host's next trial
@@ -63,19 +63,19 @@
                 self.request(now, event)
             case api.Outcome():
                 self.outcome(now, event)
-            case api.Counted():
+            case api.CounterResult():
                 self.counted(now, event)
-            case api.Timer():
+            case api.TimerExpired():
                 self.tick(now)
-            case api.HostList():
+            case api.ServerListUpdate():
                 self.fleet.listed(now, event)
                 if event.mode == "failed":
                     self.watch_at = now + 1.0
                 elif event.mode == "cached" and self.set.discovery == "ask":
-                    self.out.append(api.Watch(True))
-            case api.Began() if event.id in self.requests:
+                    self.out.append(api.WatchServerList(True))
+            case api.AttemptStarted() if event.id in self.requests:
                 self.requests[event.id].streaming = True
-            case api.Gone() if event.id in self.requests:
+            case api.ClientDisconnected() if event.id in self.requests:
                 self.close(now, self.requests[event.id])
         self.drain_queue(now)
         while self.checks and self.checks[0][1] not in self.requests:
@@ -89,20 +89,20 @@
         return self.out
 
     def request(self, now: float, req: api.Request) -> None:
-        cls, plan = self.set.classes[req.cls], self.set.plans[req.plan]
-        acct = self.accounts.pop(req.customer, None)
+        cls, plan = self.set.classes[req.service_class], self.set.plans[req.plan]
+        acct = self.accounts.pop(req.tenant, None)
         if acct is None:
             acct = Account(req, plan, self.born, now, self.rng)
-        self.accounts[req.customer], acct.seen_at = acct, now
+        self.accounts[req.tenant], acct.seen_at = acct, now
         self.free_accounts(now)
-        worth = cls.worth * plan.price * req.units
+        worth = cls.value * plan.value_factor * req.units
         self.worth += (GAIN if self.worth else 1.0) * (worth - self.worth)
         value = worth / max(self.fleet.mean[cls.name], 1e-6)
         keys = ("host", "class " + cls.name, "plan " + plan.name)
-        pending = PendingRequest(req, cls, plan, acct, now, now + req.left, worth, value, keys)
+        pending = PendingRequest(req, cls, plan, acct, now, now + req.remaining_time, worth, value, keys)
         self.requests[req.id] = pending
         pending.charge = charge(self.work(pending), self.rng.random())
-        if req.left < 2 * TICK:  # no check would come round in time
+        if req.remaining_time < 2 * TICK:  # no check would come round in time
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
         elif self.shed(now, pending):
             self.refuse(now, pending, RefusalReason.LOAD_SHED)
@@ -118,7 +118,7 @@
         """What a request is expected to take, over the mean: units tell it where requests differ in them."""
         units = pending.req.units
         self.units += (GAIN if self.units else 1.0) * (units - self.units)
-        if self.set.most_units > 1:
+        if self.set.max_request_units > 1:
             return units / max(self.units, LEAST_UNITS)
         return self.fleet.mean[pending.cls.name] / max(self.fleet.service, SERVICE_LEAST)
 
@@ -145,7 +145,7 @@
 
     def beyond(self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0) -> None:
         clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST and not self.queue
-        if pending.plan.over_worth > pending.plan.over_cost and clear:
+        if pending.plan.over_quota_value > pending.plan.over_quota_cost and clear:
             pending.beyond = True
             self.enqueue(now, pending)
         else:
@@ -158,7 +158,7 @@
             return
         acct.cap -= units  # spent before sending
         self.line_up(pending)
-        most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * pending.cls.aim)
+        most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * pending.cls.latency_target)
         self.queue = [j for j in self.queue if not j.done] if len(self.queue) > most else self.queue
         # What waits for this machine waits for a moment only: that is no overload.
         if len(self.queue) > most and now >= self.fleet.hindered_until:
@@ -174,12 +174,15 @@
     def hold(self, pending: PendingRequest) -> float:
         """How long after its arrival a request may wait for a server: while it can still be sent with use,
         and its refusal comes in the first half of its time. Of those not sent yet, there are many."""
-        useful = max(0.0, pending.cls.aim - self.fleet.mean[pending.cls.name])
+        useful = max(0.0, pending.cls.latency_target - self.fleet.mean[pending.cls.name])
         share = 1.0 if pending.sends else QUEUE_HOLD
-        return min(useful, (pending.deadline - pending.arrived) / 2, pending.cls.aim * share)
+        return min(useful, (pending.deadline - pending.arrived) / 2, pending.cls.latency_target * share)
 
     def refuse(self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0) -> None:
-        ran = pending.cls.effect != "safe" and (pending.cls.effect, pending.cls.scope) != ("keyed", "all")
+        ran = pending.cls.effect != "safe" and (pending.cls.effect, pending.cls.dedup_scope) != (
+            "keyed",
+            "all",
+        )
         if not (ran and (pending.ran or pending.live)):
             most = self.set.limits.max_retry_after if self.set.limits.retry_after else 0.0
             self.out.append(api.Refuse(pending.req.id, min(max(wait, 0.0), most), reason.value))
@@ -201,7 +204,7 @@
             return s.host.id not in pending.avoid
         if pending.cls.effect == "unsafe" or now >= self.repeat_until(pending):
             return False
-        known, scope = [self.fleet.host(h) for h, _ in unproven], pending.cls.scope
+        known, scope = [self.fleet.host(h) for h, _ in unproven], pending.cls.dedup_scope
         if None in known:
             return False
         if scope == "all":
@@ -214,7 +217,7 @@
         unproven = pending.ran + list(pending.live.values())
         if pending.cls.effect == "safe" or not unproven:
             return math.inf
-        return repeat_until(min(sent for _, sent in unproven), pending.cls.memory)
+        return repeat_until(min(sent for _, sent in unproven), pending.cls.dedup_window)
 
     def admits_late(self, now: float, id: str, number: int, server: str) -> bool:
         """Whether an attempt at a cold server, whose connection came up late, may still be written."""
@@ -235,14 +238,17 @@
     def cell_mates(self, pending: PendingRequest) -> list[Server] | None:
         """The servers of the cell that another attempt is bound to, where not all are in view; else None."""
         tried = [name for name, _ in [*pending.ran, *pending.live.values()]]
-        bound = (pending.cls.effect, pending.cls.scope) == ("keyed", "cell") and self.fleet.members.limited
+        bound = (pending.cls.effect, pending.cls.dedup_scope) == (
+            "keyed",
+            "cell",
+        ) and self.fleet.members.limited
         host = self.fleet.host(tried[0]) if bound and tried else None
         return self.fleet.cell_mates(host.cell) if host is not None else None
 
     def send(self, now: float, pending: PendingRequest) -> bool:
         if pending.begun >= self.set.limits.max_attempts or pending.streaming:
             return False
-        s = self.choose(now, pending) if self.set.limits.second_copies or not pending.live else None
+        s = self.choose(now, pending) if self.set.limits.hedging or not pending.live else None
         if s is None:
             return False
         cold = s.admission is not None and s.warmth(now, self.set.rules) < 1.0
@@ -283,21 +289,21 @@
         if pending is None:
             return
         sent = pending.live.pop(event.attempt, None)
-        if event.actual and self.set.settles and pending.plan.rate and not pending.beyond:
-            pending.acct.uncharged += event.actual - pending.req.units
+        if event.actual_units and self.set.settles_actual_units and pending.plan.rate and not pending.beyond:
+            pending.acct.uncharged += event.actual_units - pending.req.units
         if event.final:
             self.close(now, pending)
             return
         if event.result in ("error", "timeout", "reset", "cancelled") and sent is not None:
             pending.ran.append(sent)
-        if event.result in api.NEVER_BEGAN:
+        if event.result in api.NOT_STARTED_RESULTS:
             pending.unsent += 1
-            pending.avoid.discard(event.host)
+            pending.avoid.discard(event.server)
         if event.result == "unsent":
             self.fleet.hindered(now)
         if pending.live:
             return
-        free = event.result == "connect_failed" or event.result in api.NEVER_BEGAN
+        free = event.result == "connect_failed" or event.result in api.NOT_STARTED_RESULTS
         cost = 0.0 if free else RETRY_FULL if event.result == "full" else 1.0
         late = now + max(TICK, self.fleet.mean[pending.cls.name]) > pending.deadline or event.result == "moot"
         if late:
@@ -330,7 +336,7 @@
             self.timer_at = math.inf
         if now >= self.watch_at:
             self.watch_at = math.inf
-            self.out.append(api.Watch(True))
+            self.out.append(api.WatchServerList(True))
         while self.checks and self.checks[0][0] <= now + 1e-6:
             name = heapq.heappop(self.checks)[1]
             if name in self.requests:
@@ -357,7 +363,7 @@
         self.check_at(now + max(2 * TICK, self.fleet.dev[pending.cls.name]), pending)
         if not late or len(pending.live) > 1 or pending.cls.effect == "unsafe" or self.budget < 1.0:
             return
-        if self.set.limits.second_copies:
+        if self.set.limits.hedging:
             self.budget -= self.send(now, pending)
         elif (
             self.set.limits.cancel
--- a/calicomast/quota.py
+++ b/calicomast/quota.py
@@ -51,7 +51,7 @@
 
 class Account:
     def __init__(self, req: api.Request, plan: api.Plan, born: float, now: float, rng: random.Random) -> None:
-        self.name, self.plan, self.spread, self.open_here = req.customer, plan, req.spread, 0
+        self.name, self.plan, self.spread, self.open_here = req.tenant, plan, req.spread, 0
         self.thin = 0 < plan.burst < self.spread  # an even part of the burst is less than a unit
         self.refill = plan.burst / plan.rate if plan.rate else 1.0  # s in which an empty store fills
         self.length = self.refill * (THIN_WINDOW if self.thin else 1.0)
@@ -180,4 +180,4 @@
         return 1 - 2 / self.seen
 
     def mistake(self, plan: api.Plan) -> float:
-        return (1 - self.share) * max(LOAD_COST, plan.over_cost - plan.over_worth)
+        return (1 - self.share) * max(LOAD_COST, plan.over_quota_cost - plan.over_quota_value)
--- a/calicomast/servers.py
+++ b/calicomast/servers.py
@@ -37,7 +37,7 @@
 
 
 class Server:
-    def __init__(self, host: api.Host, rounding: float, out: dict) -> None:
+    def __init__(self, host: api.Server, rounding: float, out: dict) -> None:
         self.host, self.up, self.out = host, host.state == "up", out  # attempts out: when sent
         self.others, self.others_at, self.ratio = 0.0, -math.inf, 1.0  # ratio: time against the fleet's
         self.rests: dict[str, tuple[int, float]] = {}  # host or class: failures in a row, its next trial
@@ -60,16 +60,21 @@
         return bool(self.rests) and any(now < self.rests.get(key, (0, 0.0))[1] for key in keys)
 
     def warmth(self, now: float, rules: api.Rules) -> float:
-        age = max(0.0, now - self.host.started)
-        cold = 0 < self.host.started and age < rules.cold_time
-        return rules.cold_share + (1 - rules.cold_share) * age / rules.cold_time if cold else 1.0
+        age = max(0.0, now - self.host.started_at)
+        cold = 0 < self.host.started_at and age < rules.slow_start_duration
+        return (
+            rules.slow_start_initial_share
+            + (1 - rules.slow_start_initial_share) * age / rules.slow_start_duration
+            if cold
+            else 1.0
+        )
 
 
 class Fleet:
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self.set, self.rng, self.detector = settings, rng, FailureDetector()
         self.servers: dict[str, Server] = {}
-        cells = any(c.effect == "keyed" and c.scope == "cell" for c in settings.classes.values())
+        cells = any(c.effect == "keyed" and c.dedup_scope == "cell" for c in settings.classes.values())
         self.members = Membership(settings.index, settings.gateways, cells)
         self.gone: dict[str, float] = {}  # servers that are gone, and since when
         self._up: list[Server] = []
@@ -77,7 +82,7 @@
         self._cold: list[Server] = []
         self.stale, self.now = False, 0.0  # whether these three are; time of the event that is handled
         self.limit = max(1.0, LIMIT_MOST / settings.gateways)
-        self.mean = {c.name: min(c.aim / 5, c.deadline) for c in settings.classes.values()}
+        self.mean = {c.name: min(c.latency_target / 5, c.deadline) for c in settings.classes.values()}
         self.dev, self.seen = dict(self.mean), dict.fromkeys(self.mean, 0)
         self.rate, self.rate_at = 0.0, 0.0  # own sends a second
         self.out, self.held, self.reports = 0, 0.0, False  # own attempts out; mean load of reports, if any
@@ -99,21 +104,21 @@
         self.refresh()
         return self._subset
 
-    def listed(self, now: float, event: api.HostList) -> None:
+    def listed(self, now: float, event: api.ServerListUpdate) -> None:
         if event.mode not in ("delta", "failed"):
-            for host in self.members.missing({h.id for h in event.hosts}):
+            for host in self.members.missing({h.id for h in event.servers}):
                 self.told(now, dataclasses.replace(host, state="down"))
-        for host in event.hosts:
+        for host in event.servers:
             self.told(now, host)
         self.forget(now)
 
-    def told(self, now: float, host: api.Host) -> None:
+    def told(self, now: float, host: api.Server) -> None:
         """Takes over what was said of one server; there is state only for those worked with."""
         self.members.tell(host)
         old = self.servers.get(host.id)
         if old is None and not (host.id in self.members or self.has_place(host, now)):
             return
-        if old is None or (host.state == "up" and host.started > old.host.started):
+        if old is None or (host.state == "up" and host.started_at > old.host.started_at):
             self.servers[host.id] = self.new_server(host, old.out if old else {})
         else:
             old.host, old.up = host, host.state == "up"
@@ -123,17 +128,17 @@
             self.gone.setdefault(host.id, now)
         self.stale = True
 
-    def has_place(self, host: api.Host, now: float) -> bool:
+    def has_place(self, host: api.Server, now: float) -> bool:
         """Whether a server outside of the view is cold and may be sent to from here while it is."""
-        age = now - host.started
-        if host.state != "up" or not host.started or age >= self.set.rules.cold_time:
+        age = now - host.started_at
+        if host.state != "up" or not host.started_at or age >= self.set.rules.slow_start_duration:
             return False
         admission = ColdAdmission(host, self.set.index, self.set.gateways, self.set.rules)
         return admission.place < admission.budget(1.0, SERVERS_OF_HOST / max(self.service, SERVICE_LEAST))
 
-    def new_server(self, host: api.Host, out: dict) -> Server:
+    def new_server(self, host: api.Server, out: dict) -> Server:
         server = Server(host, self.rng.random(), out)
-        if host.started > 0:
+        if host.started_at > 0:
             server.admission = ColdAdmission(host, self.set.index, self.set.gateways, self.set.rules)
         return server
 
@@ -174,7 +179,7 @@
             if name not in self.servers:
                 self.servers[name] = self.new_server(self.members.hosts[name], {})
 
-    def host(self, name: str) -> api.Host | None:
+    def host(self, name: str) -> api.Server | None:
         """What is known of a server; None for one that is gone for long."""
         server = self.servers.get(name)
         return server.host if server is not None else self.members.hosts.get(name)
@@ -218,12 +223,12 @@
         if s.admission is None or s.warmth(now, rules) == 1.0:
             return True
         # The window that ends now began when the server was colder.
-        return s.admission.left(now, s.warmth(now - rules.fall_time, rules), self.capacity(s)) >= charge
+        return s.admission.left(now, s.warmth(now - rules.overload_window, rules), self.capacity(s)) >= charge
 
     def capacity(self, s: Server) -> float:
         """Requests of mean work a second that a server serves when it is warm, about. Time in line makes it
         less than it is, which errs on the safe side."""
-        size = s.host.weight / self.top if self.set.weights in SIZES else 1.0
+        size = s.host.weight / self.top if self.set.weight_meaning in SIZES else 1.0
         return size * SERVERS_OF_HOST / max(self.service, SERVICE_LEAST)
 
     def room(self, now: float) -> bool:
@@ -297,7 +302,7 @@
         rules = self.set.rules
         if s.admission is None or s.warmth(now, rules) == 1.0:
             return True
-        warmth = s.warmth(now - rules.fall_time, rules)
+        warmth = s.warmth(now - rules.overload_window, rules)
         return s.admission.move(now, charge, key, warmth, self.capacity(s))
 
     def hindered(self, now: float) -> None:
@@ -310,12 +315,12 @@
     def answered(
         self, now: float, event: api.Outcome, cls: api.ServiceClass | None, keys: tuple[str, ...]
     ) -> None:
-        s = self.servers.get(event.host)
+        s = self.servers.get(event.server)
         if s is None:  # gone for longer than anything there could matter
             return
         out, high = len(s.out), event.result == "timeout"
         self.out -= s.out.pop((event.id, event.attempt), None) is not None
-        if event.result != "moot" and event.result not in api.NEVER_BEGAN:
+        if event.result != "moot" and event.result not in api.NOT_STARTED_RESULTS:
             self.hindrances = 0
         if event.report:
             held = event.report.get("inflight")
@@ -326,7 +331,7 @@
             self.reports, high = True, held > CONGESTED
         if event.result in ("connect_failed", "full", "error", "reset", "ok"):
             level = keys[:1] if event.result == "connect_failed" else keys
-            self.detector.note(event.host, level, event.result != "ok", now)
+            self.detector.note(event.server, level, event.result != "ok", now)
             s.tried(now, level[:2], event.result == "ok")
         if event.report or event.result in ("ok", "timeout"):
             gain = max(QUICK / 2, 1 - math.exp((self.answer_at - now) / PRESS_SPAN))
--- a/calicomast/settings.py
+++ b/calicomast/settings.py
@@ -49,15 +49,15 @@
     classes = {
         c["name"]: api.ServiceClass(
             name=c["name"],
-            aim=seconds(c["slo"]),
+            latency_target=seconds(c["slo"]),
             deadline=seconds(c["deadline"]),
             effect=EFFECT[c["effect"]],
-            scope=c.get("dedup_scope", "all"),
-            memory=seconds(c.get("memory_span", "0")),
-            worth=float(c["gain"]),
-            late_worth=_num(c, "late_value"),
-            stream=flag(c, "streaming"),
-            aim_stretch=_num(c, "aim_stretch"),
+            dedup_scope=c.get("dedup_scope", "all"),
+            dedup_window=seconds(c.get("memory_span", "0")),
+            value=float(c["gain"]),
+            late_value=_num(c, "late_value"),
+            streaming=flag(c, "streaming"),
+            latency_target_stretch=_num(c, "aim_stretch"),
         )
         for c in _items(t["services"])
     }
@@ -66,10 +66,10 @@
             name=p["name"],
             rate=_num(p, "rate"),
             burst=_num(p, "most_at_once"),
-            open_limit=int(_num(p, "parallel")),
-            price=float(p.get("value_factor", 1)),
-            over_worth=_num(p, "beyond_earns"),
-            over_cost=_num(p, "over_cost"),
+            concurrency_limit=int(_num(p, "parallel")),
+            value_factor=float(p.get("value_factor", 1)),
+            over_quota_value=_num(p, "beyond_earns"),
+            over_quota_cost=_num(p, "over_cost"),
             ceiling_rate=_num(p, "cap_rate"),
             ceiling_burst=_num(p, "cap_depth"),
             ceiling_slack=_num(p, "hard_slack"),
@@ -86,7 +86,7 @@
         plans=plans,
         limits=api.Limits(
             cancel=flag(lim, "cancel"),
-            second_copies=flag(lim, "second_copies"),
+            hedging=flag(lim, "second_copies"),
             probes=flag(lim, "probes"),
             peers=flag(lim, "peers"),
             retry_after=flag(lim, "retry_after"),
@@ -96,26 +96,26 @@
         rules=api.Rules(
             answer_slack=seconds(rules["answer_slack"]),
             drain_grace=seconds(rules["drain_grace"]),
-            cold_share=float(rules["start_capacity"]),
-            cold_time=seconds(rules["cold"]),
-            fall_multiple=float(rules["fall_multiple"]),
-            fall_time=seconds(rules["tip_after"]),
-            ask_within=seconds(rules.get("must_ask_in", "0")),
+            slow_start_initial_share=float(rules["start_capacity"]),
+            slow_start_duration=seconds(rules["cold"]),
+            overload_multiple=float(rules["fall_multiple"]),
+            overload_window=seconds(rules["tip_after"]),
+            max_fetch_interval=seconds(rules.get("must_ask_in", "0")),
         ),
         prices={k: float(v) for k, v in t.get("prices", {}).items()},
         counter=flag(spec, "shared_counter"),
         counter_price=_num(spec, "counter_price"),
         counter_timeout=seconds(spec.get("counter_timeout", "0")),
         meter_period=seconds(spec.get("meter_period", "0")),
-        settles=flag(spec, "settles"),
-        most_units=float(spec.get("units_top", 1)),
+        settles_actual_units=flag(spec, "settles"),
+        max_request_units=float(spec.get("units_top", 1)),
         discovery=DISCOVERY[t["registry_mode"]],
-        reports=tuple(REPORT[n] for n in _names(names) if n in REPORT),
-        weights=t.get("weights", "none"),
+        report_fields=tuple(REPORT[n] for n in _names(names) if n in REPORT),
+        weight_meaning=t.get("weights", "none"),
     )
 
 
-def read_report(pairs: Iterable[tuple[str, str] | list[str]]) -> dict[str, float]:
+def read_load_report(pairs: Iterable[tuple[str, str] | list[str]]) -> dict[str, float]:
     """The fields of a load report that are known and have a value; latency in seconds."""
     return {
         REPORT[name]: float(value) / 1000 if name == "avg_ms" else float(value)
--- a/emulator/counter_model.py
+++ b/emulator/counter_model.py
@@ -8,7 +8,7 @@
 
 from emulator.virtual_time import Simulation
 
-Answer = Callable[[str, float, float], None]  # result (interface.COUNT_RESULTS), total, elapsed seconds
+Answer = Callable[[str, float, float], None]  # result (interface.COUNTER_RESULTS), total, elapsed seconds
 
 
 @dataclass(slots=True)
--- a/emulator/deployment.py
+++ b/emulator/deployment.py
@@ -110,11 +110,13 @@
         """The id of a server; ids look as discovery's do."""
         return f"s-{(number * 2654435761) % 2**32:08x}"
 
-    def host(self, number: int, state: str = "up", started: float = 0.0) -> api.Host:
+    def host(self, number: int, state: str = "up", started: float = 0.0) -> api.Server:
         """A server as the decision module is told of it; `started` is a clock time in seconds, 0 long ago."""
-        return api.Host(self.server_id(number), self.zone(number), number // 8, 1.0, "small", state, started)
+        return api.Server(
+            self.server_id(number), self.zone(number), number // 8, 1.0, "small", state, started
+        )
 
-    def hosts(self) -> tuple[api.Host, ...]:
+    def hosts(self) -> tuple[api.Server, ...]:
         """All servers, up and warm."""
         return tuple(self.host(number) for number in range(self.servers))
 
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -123,11 +123,11 @@
         match action:
             case api.Send():
                 self._send(index, action)
-            case api.Count():
+            case api.AddToCounter():
                 self._count(index, action)
             case api.SetTimer():
                 self.tally.timers += 1
-                timer = api.Timer(action.label)
+                timer = api.TimerExpired(action.label)
                 self.simulation.after(action.delay, self._deliver_in_life, index, self._lives[index], timer)
             case api.Refuse():
                 self._end(action.id, "refused")
@@ -143,12 +143,12 @@
         number, pending.attempts = pending.attempts, pending.attempts + 1
         now = self.simulation.now
         self.tally.attempts += 1
-        if index not in self.connected[action.host]:
-            self.connected[action.host].add(index)
+        if index not in self.connected[action.server]:
+            self.connected[action.server].add(index)
             self.tally.handshakes += 1
         if self._on_attempt:
-            self._on_attempt(Attempt(now, action.id, index, action.host, pending.units))
-        server = self.servers.get(action.host)
+            self._on_attempt(Attempt(now, action.id, index, action.server, pending.units))
+        server = self.servers.get(action.server)
         if server is None:
             self._answer_later(index, action, number, "connect_failed", now + CONNECT_TIMEOUT)
             return
@@ -173,16 +173,16 @@
             self._end(action.id, "served")
         elapsed = self.simulation.now - sent_at
         final = over or result == "ok"
-        self.deliver(index, api.Outcome(action.id, number, action.host, result, elapsed, final))
+        self.deliver(index, api.Outcome(action.id, number, action.server, result, elapsed, final))
 
-    def _count(self, index: int, action: api.Count) -> None:
+    def _count(self, index: int, action: api.AddToCounter) -> None:
         self.tally.counter_calls += 1
         if self.counter is None:
             return
         life = self._lives[index]
 
         def answered(result: str, total: float, elapsed: float) -> None:
-            self._deliver_in_life(index, life, api.Counted(action.name, result, total, elapsed))
+            self._deliver_in_life(index, life, api.CounterResult(action.name, result, total, elapsed))
 
         self.counter.add(action.name, action.amount, answered)
 
--- a/emulator/scenarios/accounts.py
+++ b/emulator/scenarios/accounts.py
@@ -18,16 +18,16 @@
 
     def see_all() -> Gateway:
         gateway = Gateway(deployment.settings(0), seed, 1000.0)
-        gateway.handle(1000.0, api.HostList("cached", 1, deployment.hosts()))
+        gateway.handle(1000.0, api.ServerListUpdate("cached", 1, deployment.hosts()))
         for number in range(tenants):
             now = 1000.0 + number / tenants
             request = api.Request(f"r{number}", 1.5, f"{number:016x}", "standard", "fetch", 1.0, 0, 3)
             for action in gateway.handle(now, request):
                 if isinstance(action, api.Send):
-                    gateway.handle(now, api.Outcome(action.id, 0, action.host, "ok", 0.05, True))
-                elif isinstance(action, api.Count):
-                    gateway.handle(now, api.Counted(action.name, "ok", action.amount, 0.002))
-        gateway.handle(1010.0, api.Timer(0))
+                    gateway.handle(now, api.Outcome(action.id, 0, action.server, "ok", 0.05, True))
+                elif isinstance(action, api.AddToCounter):
+                    gateway.handle(now, api.CounterResult(action.name, "ok", action.amount, 0.002))
+        gateway.handle(1010.0, api.TimerExpired(0))
         return gateway
 
     gateway, kept, _ = memory_megabytes(see_all)
--- a/emulator/scenarios/cold_start.py
+++ b/emulator/scenarios/cold_start.py
@@ -74,20 +74,20 @@
             counter_price=0.01,
             counter_timeout=0.05,
             meter_period=0.0,
-            settles=False,
-            most_units=self.most_units,
+            settles_actual_units=False,
+            max_request_units=self.most_units,
             discovery="push",
-            reports=("queue",),
-            weights="none",
+            report_fields=("queue",),
+            weight_meaning="none",
         )
 
-    def listed(self, mode: str) -> api.HostList:
+    def listed(self, mode: str) -> api.ServerListUpdate:
         """The whole list as it is now."""
         started = STARTED_AT if self.simulation.now >= STARTED_AT else 0.0
         hosts = (
-            api.Host(name, "z1", 0, 1.0, "k", "up", started if name == COLD else 0.0) for name in self.names
+            api.Server(name, "z1", 0, 1.0, "k", "up", started if name == COLD else 0.0) for name in self.names
         )
-        return api.HostList(mode, 1, tuple(hosts))
+        return api.ServerListUpdate(mode, 1, tuple(hosts))
 
     def tell_all(self, mode: str = "full") -> None:
         """Every gateway hears the whole list."""
--- a/emulator/scenarios/membership.py
+++ b/emulator/scenarios/membership.py
@@ -53,7 +53,7 @@
         for state in ("leaving", "up")
         for n in range(0, deployment.servers, step)
     ]
-    changes = [api.HostList("delta", 2, hosts) for hosts in changed]
+    changes = [api.ServerListUpdate("delta", 2, hosts) for hosts in changed]
 
     def change_all() -> None:
         for change in changes:
--- a/emulator/scenarios/partition.py
+++ b/emulator/scenarios/partition.py
@@ -54,7 +54,7 @@
     fleet = HollowFleet(
         simulation, deployment.settings, gateways, servers, counter, seed, on_attempt=attempted
     )
-    fleet.deliver_to_all(api.HostList("cached", 1, deployment.hosts()))
+    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.hosts()))
     population = TenantPopulation(tenants, gateways, SPREAD, 0.0, seed)
     rate, whole = DEMAND * PLAN.rate * tenants, BEFORE + seconds
 
--- a/emulator/scenarios/quota.py
+++ b/emulator/scenarios/quota.py
@@ -27,7 +27,7 @@
     counter = CounterModel(simulation, 1e6, seed=seed)
     servers = {deployment.server_id(n): ServerModel() for n in range(SERVERS)}
     fleet = HollowFleet(simulation, deployment.settings, gateways, servers, counter, seed)
-    fleet.deliver_to_all(api.HostList("cached", 1, deployment.hosts()))
+    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.hosts()))
     population = TenantPopulation(1, gateways, spread, 0.0, seed)
     arrivals = population.arrivals(max(1, int(rate * USED * seconds)), rate * USED)
     for number, (at, (tenant, index)) in enumerate(
--- a/emulator/scenarios/steady.py
+++ b/emulator/scenarios/steady.py
@@ -26,7 +26,7 @@
     counter = CounterModel(simulation, COUNTER_CALLS_PER_GATEWAY * deployment.gateways, seed=seed)
     servers = {deployment.server_id(n): ServerModel() for n in range(deployment.servers)}
     fleet = HollowFleet(simulation, deployment.settings, deployment.gateways, servers, counter, seed)
-    fleet.deliver_to_all(api.HostList("cached", 1, deployment.hosts()))
+    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.hosts()))
     population = TenantPopulation(deployment.tenants, deployment.gateways, SPREAD, SKEW, seed)
     rate = REQUESTS_PER_SERVER * deployment.servers
     arrivals = population.arrivals(int(rate * seconds), rate)
--- a/emulator/scenarios/subsets.py
+++ b/emulator/scenarios/subsets.py
@@ -28,11 +28,11 @@
     sizes, moved, kept_names = [], 0, 0
     for index in range(deployment.gateways):
         gateway = Gateway(deployment.settings(index), seed, 1000.0)
-        gateway.handle(1000.0, api.HostList("cached", 1, hosts))
+        gateway.handle(1000.0, api.ServerListUpdate("cached", 1, hosts))
         before = subset(gateway)
         covered.update(before)
         sizes.append(len(before))
-        gateway.handle(1000.0, api.HostList("delta", 2, gone + new))
+        gateway.handle(1000.0, api.ServerListUpdate("delta", 2, gone + new))
         lost = before - subset(gateway)
         moved += len(lost - {host.id for host in gone})
         kept_names += len(before)
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -136,7 +136,7 @@
     """The server that started last gets all requests at once."""
     admission.ColdAdmission.left = lambda *told: 1e9  # type: ignore[method-assign]
     servers.Fleet.best = (  # type: ignore[method-assign]
-        lambda self, now, keys, pool, charge: max(pool, key=lambda s: s.host.started, default=None)
+        lambda self, now, keys, pool, charge: max(pool, key=lambda s: s.host.started_at, default=None)
     )
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -3,13 +3,17 @@
 import random
 
 import pytest
-from helpers import World, host, of, plan, settings
+from helpers import GatewayHarness, actions_of, make_plan, make_server, make_settings
 
 from calicomast import interface as api
 from calicomast.admission import ColdAdmission, charge, place
 
-BIG = plan(rate=1000.0, burst=4000.0)
-RULES = settings(rules=dict(cold_share=0.15, cold_time=18.0, fall_multiple=3.0, fall_time=1.0)).rules
+BIG = make_plan(rate=1000.0, burst=4000.0)
+RULES = make_settings(
+    rules=dict(
+        slow_start_initial_share=0.15, slow_start_duration=18.0, overload_multiple=3.0, overload_window=1.0
+    )
+).rules
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 7, 30, 200])
@@ -24,7 +28,7 @@
 
 def sent_by_all(gateways, seconds, warmth=0.2, capacity=20.0, restart=None):
     """How much all gateways send in a time in which each sends whatever it may."""
-    cold = host("h1", started=1.0)
+    cold = make_server("h1", started_at=1.0)
     admissions = [ColdAdmission(cold, index, gateways, RULES) for index in range(gateways)]
     times = []
     for step in range(int(seconds * 100)):
@@ -41,7 +45,7 @@
 @pytest.mark.parametrize("gateways", [1, 3, 11, 200])
 def test_all_together_send_the_budget_in_any_window_and_no_more(gateways):
     times = sent_by_all(gateways, 3.0)
-    budget = ColdAdmission(host("h1", started=1.0), 0, gateways, RULES).budget(0.2, 20.0)
+    budget = ColdAdmission(make_server("h1", started_at=1.0), 0, gateways, RULES).budget(0.2, 20.0)
     assert budget == pytest.approx(0.9 * 3.0 * 0.2 * 20.0)
     most = max(sum(t <= x < t + 0.9999 for x in times) for t in times)
     assert budget - 1 < most <= budget + 1
@@ -64,11 +68,11 @@
 def test_a_gateway_without_a_place_sends_nothing_and_one_with_a_place_sends_once():
     sent = {}
     for index in range(40):
-        conf = settings(
-            plans=[plan(rate=1000.0, burst=4000.0)], gateways=40, index=index, rules=vars_of(RULES)
+        conf = make_settings(
+            plans=[make_plan(rate=1000.0, burst=4000.0)], gateways=40, index=index, rules=vars_of(RULES)
         )
-        w = World(conf, [host("h1", started=1000.0)], seed=index)
-        sends = [s for _ in range(5) for s in of(w.ask()[1], api.Send)]
+        w = GatewayHarness(conf, [make_server("h1", started_at=1000.0)], seed=index)
+        sends = [s for _ in range(5) for s in actions_of(w.send_request()[1], api.Send)]
         sent[place("h1", 1000.0, index, 40)] = len(sends)
     budget = sum(sent.values())
     assert 1 <= budget <= 0.9 * 3.0 * 0.15 * 2 / 0.2 + 1
@@ -76,17 +80,25 @@
 
 
 def vars_of(rules):
-    return {name: getattr(rules, name) for name in ("cold_share", "cold_time", "fall_multiple", "fall_time")}
+    return {
+        name: getattr(rules, name)
+        for name in (
+            "slow_start_initial_share",
+            "slow_start_duration",
+            "overload_multiple",
+            "overload_window",
+        )
+    }
 
 
 def test_an_attempt_that_is_written_late_has_to_get_its_place_anew():
-    admission = ColdAdmission(host("h1", started=1.0), 0, 1, RULES)
+    admission = ColdAdmission(make_server("h1", started_at=1.0), 0, 1, RULES)
     share = round(admission.left(1.0, 0.2, 20.0))
     for number in range(share):
         admission.note(1.0, 1.0, ("early", number))
-    later = 1.0 + RULES.fall_time * 0.9
+    later = 1.0 + RULES.overload_window * 0.9
     assert admission.move(later, 1.0, ("early", 0), 0.2, 20.0)  # in its own place
-    after = 1.0 + RULES.fall_time * 1.5
+    after = 1.0 + RULES.overload_window * 1.5
     for number in range(share - 1):
         admission.note(after, 1.0, ("late", number))
     assert not admission.move(after, 1.0, ("early", 1), 0.2, 20.0)  # the window is full
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -67,7 +67,7 @@
         for _ in table.take(read_list((text % (version, port, started)).encode())):
             pass
         times.step += 3600.0
-    first, second = (event.hosts[0].started for event in seen)
+    first, second = (event.servers[0].started_at for event in seen)
     assert first == second == pytest.approx(ticking() - AGE)
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,7 +1,7 @@
 """A cold server bears only so much from all gateways together, whatever each of them has saved up."""
 
 import pytest
-from helpers import plan
+from helpers import make_plan
 
 from emulator.scenarios.cold_start import (
     STARTED_AT,
@@ -54,7 +54,7 @@
         world = ColdStart(
             gateways,
             seed=1,
-            plan=plan(rate=1e6, burst=4e6),
+            plan=make_plan(rate=1e6, burst=4e6),
             most_units=8.0,
             units=lambda generator: 8.0 if generator.random() < 0.1 else 0.5,
         )
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -109,7 +109,7 @@
         1,
         on_end=lambda name, how: ends.update({name: how}),
     )
-    fleet.deliver_to_all(api.HostList("cached", 1, deployment.hosts()))
+    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.hosts()))
 
     def ask(name):
         fleet.request(0, api.Request(name, 1.5, "c", "standard", "fetch", 1.0, 0, 2))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,115 +1,123 @@
-from helpers import World, host, of, plan, settings
+from helpers import GatewayHarness, actions_of, make_plan, make_server, make_settings
 
 from calicomast import interface as api
 
-BIG = plan(rate=1000.0, burst=4000.0)
+BIG = make_plan(rate=1000.0, burst=4000.0)
 
 
 def test_few_are_out_at_each_server_and_the_rest_waits_in_order_of_worth():
-    w = World(settings(plans=[BIG]), [host("h1")])
-    sent = [s for _ in range(8) for s in of(w.ask(cls="read")[1], api.Send)]
+    w = GatewayHarness(make_settings(plans=[BIG]), [make_server("h1")])
+    sent = [s for _ in range(8) for s in actions_of(w.send_request(service_class="read")[1], api.Send)]
     assert len(sent) == 2  # half of what all gateways together leave at one server
-    name, acts = w.ask(cls="write")
-    assert not of(acts, api.Send)
-    assert [s.id for s in of(w.end(sent[0]), api.Send)] == [name]
+    name, acts = w.send_request(service_class="write")
+    assert not actions_of(acts, api.Send)
+    assert [s.id for s in actions_of(w.finish_attempt(sent[0]), api.Send)] == [name]
 
 
 def test_waiting_requests_are_bounded():
-    w = World(settings(plans=[BIG]), [host("h1")])
-    acts = [a for _ in range(200) for a in w.ask()[1]]
-    assert len(of(acts, api.Refuse)) > 150
+    w = GatewayHarness(make_settings(plans=[BIG]), [make_server("h1")])
+    acts = [a for _ in range(200) for a in w.send_request()[1]]
+    assert len(actions_of(acts, api.Refuse)) > 150
 
 
 def test_a_fraction_of_an_attempt_is_rounded_by_chance_over_gateways_and_servers():
     out = 0
     for k in range(3):
-        w = World(settings(plans=[BIG], gateways=3, index=k), [host(f"h{n}") for n in range(30)], seed=k)
-        out += sum(len(of(w.ask()[1], api.Send)) for _ in range(200))
+        w = GatewayHarness(
+            make_settings(plans=[BIG], gateways=3, index=k), [make_server(f"h{n}") for n in range(30)], seed=k
+        )
+        out += sum(len(actions_of(w.send_request()[1], api.Send)) for _ in range(200))
     assert 100 < out < 140  # four a server over all, not six
 
 
 def test_one_gateway_of_many_has_few_out_in_all_and_a_silent_attempt_holds_no_place():
-    w = World(settings(plans=[BIG], gateways=200), [host(f"h{n}") for n in range(50)])
-    sends = [s for _ in range(20) for s in of(w.ask(cls="note", left=3.0)[1], api.Send)]
+    w = GatewayHarness(make_settings(plans=[BIG], gateways=200), [make_server(f"h{n}") for n in range(50)])
+    sends = [
+        s
+        for _ in range(20)
+        for s in actions_of(w.send_request(service_class="note", remaining_time=3.0)[1], api.Send)
+    ]
     assert len(sends) == 2  # twice its even part of four a server
-    w.wait(1.2)  # waiting requests end, the two are taken for silent
-    assert of(w.ask(cls="note")[1], api.Send)
+    w.advance(1.2)  # waiting requests end, the two are taken for silent
+    assert actions_of(w.send_request(service_class="note")[1], api.Send)
 
 
 def test_a_slow_counter_is_asked_less_and_a_call_then_stands_for_those_unasked():
     calls, most = {}, {}
     for slow in (0.001, 0.045):
-        w = World(settings(gateways=100, plans=[plan(rate=2.0, burst=8.0)]))
-        w.mode, calls[slow], most[slow] = "hold", 0, 0.0
+        w = GatewayHarness(make_settings(gateways=100, plans=[make_plan(rate=2.0, burst=8.0)]))
+        w.counter_mode, calls[slow], most[slow] = "hold", 0, 0.0
         for k in range(60):
-            for c in of(w.ask(customer=f"c{k}", spread=60)[1], api.Count):
+            for c in actions_of(w.send_request(tenant=f"c{k}", spread=60)[1], api.AddToCounter):
                 calls[slow] += c.amount > 0
                 most[slow] = max(most[slow], c.amount)
-                w.do(api.Counted(c.name, "ok", 20.0 * (k % 2) + c.amount, slow))
+                w.handle(api.CounterResult(c.name, "ok", 20.0 * (k % 2) + c.amount, slow))
             w.now += 0.1
     assert calls[0.045] < 0.7 * calls[0.001]
     assert most[0.001] <= 1.1 and 1.1 < most[0.045] <= 4.0
 
 
 def test_hosts_that_are_gone_are_forgotten_in_time():
-    w = World(settings(plans=[BIG]), [host("h0")])
+    w = GatewayHarness(make_settings(plans=[BIG]), [make_server("h0")])
     for n in range(1, 200):
-        for send in of(w.ask()[1], api.Send):
-            w.end(send, "error")
-        hosts = (host(f"h{n}"), host(f"h{n - 1}", state="leaving" if n % 2 else "down"))
-        w.do(api.HostList("full" if n % 3 else "delta", n, hosts))
+        for send in actions_of(w.send_request()[1], api.Send):
+            w.finish_attempt(send, "error")
+        hosts = (make_server(f"h{n}"), make_server(f"h{n - 1}", state="leaving" if n % 2 else "down"))
+        w.handle(api.ServerListUpdate("full" if n % 3 else "delta", n, hosts))
         w.now += 2.0
-    assert len(w.gw.fleet.servers) < 40 and len(w.gw.fleet.up) == 1
-    assert len(w.gw.fleet.detector.hosts) < 40
+    assert len(w.gateway.fleet.servers) < 40 and len(w.gateway.fleet.up) == 1
+    assert len(w.gateway.fleet.detector.hosts) < 40
 
 
 def test_a_host_that_is_gone_is_known_while_something_is_out_there():
-    w = World(settings(plans=[BIG]), [host("h1"), host("h2")])
-    (send,) = of(w.ask(cls="note", left=3.0)[1], api.Send)
-    other = "h2" if send.host == "h1" else "h1"
-    w.do(api.HostList("full", 2, (host(other),)))
+    w = GatewayHarness(make_settings(plans=[BIG]), [make_server("h1"), make_server("h2")])
+    (send,) = actions_of(w.send_request(service_class="note", remaining_time=3.0)[1], api.Send)
+    other = "h2" if send.server == "h1" else "h1"
+    w.handle(api.ServerListUpdate("full", 2, (make_server(other),)))
     w.now += 100.0
-    w.do(api.HostList("full", 3, (host(other),)))
-    assert send.host in w.gw.fleet.servers
-    w.end(send)
-    w.do(api.HostList("full", 4, (host(other),)))
-    assert send.host not in w.gw.fleet.servers
+    w.handle(api.ServerListUpdate("full", 3, (make_server(other),)))
+    assert send.server in w.gateway.fleet.servers
+    w.finish_attempt(send)
+    w.handle(api.ServerListUpdate("full", 4, (make_server(other),)))
+    assert send.server not in w.gateway.fleet.servers
 
 
 def used(index, hosts, gateways=40, tries=200):
-    w = World(settings(plans=[BIG], gateways=gateways, index=index), hosts, seed=index)
+    w = GatewayHarness(make_settings(plans=[BIG], gateways=gateways, index=index), hosts, seed=index)
     seen = set()
     for _ in range(tries):
-        for send in of(w.ask()[1], api.Send):
-            seen.add(send.host)
-            w.end(send)
+        for send in actions_of(w.send_request()[1], api.Send):
+            seen.add(send.server)
+            w.finish_attempt(send)
     return seen
 
 
 def test_a_gateway_of_many_keeps_to_a_part_of_the_servers_and_each_server_has_many_gateways():
-    hosts = [host(f"h{n}") for n in range(60)]
+    hosts = [make_server(f"h{n}") for n in range(60)]
     sets = [used(k, hosts) for k in range(40)]
     assert all(8 <= len(s) <= 15 for s in sets)
     keepers = [sum(h.id in s for s in sets) for h in hosts]
     assert min(keepers) >= 2 and max(keepers) <= 20
-    assert len(World(settings(gateways=2), hosts).gw.fleet.subset) == 60
+    assert len(GatewayHarness(make_settings(gateways=2), hosts).gateway.fleet.subset) == 60
 
 
 def test_where_none_of_its_own_servers_is_able_another_one_is_used():
-    w = World(settings(plans=[BIG], gateways=40), [host(f"h{n}") for n in range(60)])
-    near = {s.host.id for s in w.gw.fleet.subset}
-    asked = [w.ask(cls="note") for _ in range(12)]  # nothing is answered: its part of the attempts is out
-    assert {s.host for _, acts in asked for s in of(acts, api.Send)} <= near
-    for s in w.gw.fleet.subset:
+    w = GatewayHarness(make_settings(plans=[BIG], gateways=40), [make_server(f"h{n}") for n in range(60)])
+    near = {s.host.id for s in w.gateway.fleet.subset}
+    asked = [
+        w.send_request(service_class="note") for _ in range(12)
+    ]  # nothing is answered: its part of the attempts is out
+    assert {s.server for _, acts in asked for s in actions_of(acts, api.Send)} <= near
+    for s in w.gateway.fleet.subset:
         s.rests["host"] = 1, w.now + 10.0
-    w.gw.fleet.out = 0
-    (send,) = of(w.ask(cls="note")[1], api.Send)
-    assert send.host not in near
+    w.gateway.fleet.out = 0
+    (send,) = actions_of(w.send_request(service_class="note")[1], api.Send)
+    assert send.server not in near
 
 
 def test_servers_that_go_are_made_up_for_and_the_others_stay():
-    w = World(settings(plans=[BIG], gateways=40), [host(f"h{n}") for n in range(60)])
-    before = [s.host.id for s in w.gw.fleet.subset]
-    w.do(api.HostList("delta", 2, (host(before[3], state="leaving"),)))
-    after = [s.host.id for s in w.gw.fleet.subset]
+    w = GatewayHarness(make_settings(plans=[BIG], gateways=40), [make_server(f"h{n}") for n in range(60)])
+    before = [s.host.id for s in w.gateway.fleet.subset]
+    w.handle(api.ServerListUpdate("delta", 2, (make_server(before[3], state="leaving"),)))
+    after = [s.host.id for s in w.gateway.fleet.subset]
     assert set(before) - set(after) == {before[3]} and len(after) == 15
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -54,7 +54,7 @@
         lambda: api.ServiceClass("c", 1.0, 2.0, "sometimes", "all", 0.0, 1.0, 0.0, False, 0.0),
         lambda: api.Request("r", 1.0, "c", "p", "c", -1.0, 0, 1),
         lambda: api.Request("r", 1.0, "c", "p", "c", 1.0, 0, 0),
-        lambda: api.Host("h", "z", 0, 1.0, "k", "maybe", 0.0),
+        lambda: api.Server("h", "z", 0, 1.0, "k", "maybe", 0.0),
         lambda: api.Outcome("r", 0, "h", "fine", 0.1, True),
     ],
 )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,18 +4,18 @@
 from collections import Counter
 
 import pytest
-from helpers import CELL, World, host, of, plan, settings
+from helpers import CELL_WRITE, GatewayHarness, actions_of, make_plan, make_server, make_settings
 
 from calicomast import interface as api
 from calicomast.membership import SCANNED, VIEW_LEAST, Membership
 from emulator.deployment import Deployment
 from emulator.measure import executed_lines
 
-BIG = plan(rate=1000.0, burst=4000.0)
+BIG = make_plan(rate=1000.0, burst=4000.0)
 
 
 def listed(count, first=0):
-    return [host(f"h{n}", cell=n // 4) for n in range(first, first + count)]
+    return [make_server(f"h{n}", cell=n // 4) for n in range(first, first + count)]
 
 
 def membership(index, gateways, servers, cells=False):
@@ -30,8 +30,8 @@
 
 
 def world(servers, gateways=400, classes=None, index=0):
-    conf = settings(plans=[BIG], gateways=gateways, index=index)
-    return World(conf, servers, seed=index)
+    conf = make_settings(plans=[BIG], gateways=gateways, index=index)
+    return GatewayHarness(conf, servers, seed=index)
 
 
 @pytest.mark.parametrize("gateways", [11, 33, 80, 200])
@@ -65,7 +65,7 @@
     for _ in range(20_000):
         name = f"h{generator.randrange(6000)}"
         state = generator.choice(("up", "up", "up", "leaving", "down"))
-        server = host(name, cell=generator.randrange(50), state=state)
+        server = make_server(name, cell=generator.randrange(50), state=state)
         now[name] = server
         members.tell(server)
         members.proceed()
@@ -84,34 +84,36 @@
 def test_a_view_that_has_lost_most_is_made_anew_in_small_steps():
     servers = listed(20_000)
     w = world(servers)
-    gone = sorted(servers, key=lambda s: w.gw.fleet.members.rank(s.id))[:4000]
+    gone = sorted(servers, key=lambda s: w.gateway.fleet.members.rank(s.id))[:4000]
     for start in range(0, len(gone), 100):
-        hosts = tuple(host(s.id, state="down") for s in gone[start : start + 100])
-        w.do(api.HostList("delta", 2, hosts))
-    members = w.gw.fleet.members
+        hosts = tuple(make_server(s.id, state="down") for s in gone[start : start + 100])
+        w.handle(api.ServerListUpdate("delta", 2, hosts))
+    members = w.gateway.fleet.members
     assert members.unfinished and len(members.view) < VIEW_LEAST // 2
-    name, acts = w.ask()
-    assert of(acts, api.Send) or members.view == []
-    assert of(w.log and [a for _, a in w.log], api.SetTimer)  # it goes on without any other event
+    name, acts = w.send_request()
+    assert actions_of(acts, api.Send) or members.view == []
+    assert actions_of(
+        w.action_log and [a for _, a in w.action_log], api.SetTimer
+    )  # it goes on without any other event
     steps = 0
     while members.unfinished:
-        lines = executed_lines(lambda: w.do(api.Timer(0)))
+        lines = executed_lines(lambda: w.handle(api.TimerExpired(0)))
         steps += 1
         assert lines < 20 * max(SCANNED, 2 * VIEW_LEAST)  # whatever the length of the list
     assert steps >= 5 and len(members.view) >= VIEW_LEAST
-    assert len(w.gw.fleet.subset) == members.subset_size
-    assert w.ask()[1]
+    assert len(w.gateway.fleet.subset) == members.subset_size
+    assert w.send_request()[1]
 
 
 def change_lines(servers, gateways=3300):
     """Lines of Python that one change takes in the mean over many servers."""
     deployment = Deployment(gateways, servers)
-    w = World(deployment.settings(0), deployment.hosts())
+    w = GatewayHarness(deployment.settings(0), deployment.hosts())
     step = max(1, servers // 60)
     numbers = range(0, servers, step)
     changes = [(deployment.host(n, state),) for state in ("leaving", "up") for n in numbers]
-    told = [api.HostList("delta", 2, hosts) for hosts in changes]
-    return executed_lines(lambda: [w.gw.handle(w.now, change) for change in told]) / len(told)
+    told = [api.ServerListUpdate("delta", 2, hosts) for hosts in changes]
+    return executed_lines(lambda: [w.gateway.handle(w.now, change) for change in told]) / len(told)
 
 
 def test_one_change_costs_no_more_in_a_long_list_than_in_a_short_one():
@@ -123,47 +125,47 @@
     w = world(listed(12_000), gateways=3300)
     sent = set()
     for _ in range(100):
-        for send in of(w.ask()[1], api.Send):
-            sent.add(send.host)
-            w.end(send)
-    assert len(w.gw.fleet.members.hosts) == 12_000 and w.gw.fleet.members.up == 12_000
-    assert len(w.gw.fleet.servers) <= 2 * VIEW_LEAST
-    assert sent <= {s.host.id for s in w.gw.fleet.subset}
-    assert len(w.gw.fleet.subset) == 37  # 10 x 12000 / 3300, rounded up
+        for send in actions_of(w.send_request()[1], api.Send):
+            sent.add(send.server)
+            w.finish_attempt(send)
+    assert len(w.gateway.fleet.members.hosts) == 12_000 and w.gateway.fleet.members.up == 12_000
+    assert len(w.gateway.fleet.servers) <= 2 * VIEW_LEAST
+    assert sent <= {s.host.id for s in w.gateway.fleet.subset}
+    assert len(w.gateway.fleet.subset) == 37  # 10 x 12000 / 3300, rounded up
 
 
 def test_what_a_change_does_not_name_stays():
     w = world(listed(12_000))
-    before = [s.host.id for s in w.gw.fleet.subset]
-    other = next(n for n in w.gw.fleet.members.hosts if n not in w.gw.fleet.servers)
-    w.do(api.HostList("delta", 2, (host(other, state="leaving"),)))
-    assert [s.host.id for s in w.gw.fleet.subset] == before
-    w.do(api.HostList("delta", 3, (host(before[0], state="leaving"),)))
-    after = [s.host.id for s in w.gw.fleet.subset]
+    before = [s.host.id for s in w.gateway.fleet.subset]
+    other = next(n for n in w.gateway.fleet.members.hosts if n not in w.gateway.fleet.servers)
+    w.handle(api.ServerListUpdate("delta", 2, (make_server(other, state="leaving"),)))
+    assert [s.host.id for s in w.gateway.fleet.subset] == before
+    w.handle(api.ServerListUpdate("delta", 3, (make_server(before[0], state="leaving"),)))
+    after = [s.host.id for s in w.gateway.fleet.subset]
     assert after[:-1] == before[1:] and after[-1] not in before
 
 
 def test_a_server_that_leaves_the_view_keeps_its_state_while_something_is_out_there():
     w = world(listed(3000))
-    (send,) = of(w.ask()[1], api.Send)
-    w.do(api.HostList("delta", 2, tuple(listed(9000, 3000))))  # many come before it in the order
-    assert w.gw.fleet.members.limited and w.gw.fleet.subset
-    assert send.host in w.gw.fleet.servers and w.gw.fleet.out == 1
-    w.end(send)
-    assert w.gw.fleet.out == 0
+    (send,) = actions_of(w.send_request()[1], api.Send)
+    w.handle(api.ServerListUpdate("delta", 2, tuple(listed(9000, 3000))))  # many come before it in the order
+    assert w.gateway.fleet.members.limited and w.gateway.fleet.subset
+    assert send.server in w.gateway.fleet.servers and w.gateway.fleet.out == 1
+    w.finish_attempt(send)
+    assert w.gateway.fleet.out == 0
 
 
 def test_a_repeat_that_is_bound_to_a_cell_finds_its_servers_outside_of_the_view():
     w = world(listed(12_000))
     tried = 0
     for _ in range(12):
-        (first,) = of(w.ask(cls=CELL.name)[1], api.Send)
-        seconds = of(w.end(first, "reset"), api.Send)
+        (first,) = actions_of(w.send_request(service_class=CELL_WRITE.name)[1], api.Send)
+        seconds = actions_of(w.finish_attempt(first, "reset"), api.Send)
         for second in seconds:
-            cell = w.gw.fleet.members.hosts[first.host].cell
-            assert second.host != first.host and w.gw.fleet.members.hosts[second.host].cell == cell
+            cell = w.gateway.fleet.members.hosts[first.server].cell
+            assert second.server != first.server and w.gateway.fleet.members.hosts[second.server].cell == cell
             tried += 1
-            w.end(second)
+            w.finish_attempt(second)
     assert tried > 0
 
 
@@ -172,50 +174,50 @@
     used = 0
     for index in range(6):
         w = world(servers, gateways=6 * 100, index=index)
-        w.ask()
-        outside = [n for n in w.gw.fleet.members.hosts if n not in w.gw.fleet.members][:400]
-        w.do(api.HostList("delta", 2, tuple(host(n, started=w.now) for n in outside)))
-        placed = [n for n in outside if n in w.gw.fleet.servers]
+        w.send_request()
+        outside = [n for n in w.gateway.fleet.members.hosts if n not in w.gateway.fleet.members][:400]
+        w.handle(api.ServerListUpdate("delta", 2, tuple(make_server(n, started_at=w.now) for n in outside)))
+        placed = [n for n in outside if n in w.gateway.fleet.servers]
         assert len(placed) < 40  # of 400: few gateways have a place at one
         used += len(placed)
-        assert all(w.gw.fleet.servers[n].admission is not None for n in placed)
+        assert all(w.gateway.fleet.servers[n].admission is not None for n in placed)
         w.now += 30.0  # warm by now
-        w.do(api.HostList("delta", 3, (host("h0", state="leaving"),)))
-        w.ask()
+        w.handle(api.ServerListUpdate("delta", 3, (make_server("h0", state="leaving"),)))
+        w.send_request()
     assert used > 0
 
 
 def test_what_comes_into_view_as_a_list_shrinks_has_state_whatever_is_remembered_of_others():
     w = world(listed(9000), gateways=400)
-    w.ask()
+    w.send_request()
     for count in (5000, 1200, 400):
         kept = listed(9000)[9000 - count :]
-        w.do(api.HostList("full", 2, tuple(kept)))
+        w.handle(api.ServerListUpdate("full", 2, tuple(kept)))
         for _ in range(40):
-            w.do(api.Timer(0))
-        (send,) = of(w.ask()[1], api.Send)
-        assert send.host in {s.id for s in kept} and len(w.gw.fleet.subset) == max(8, -(-count // 40))
-        w.end(send)
-    assert {s.host.id for s in w.gw.fleet.up} == {s.id for s in kept}
+            w.handle(api.TimerExpired(0))
+        (send,) = actions_of(w.send_request()[1], api.Send)
+        assert send.server in {s.id for s in kept} and len(w.gateway.fleet.subset) == max(8, -(-count // 40))
+        w.finish_attempt(send)
+    assert {s.host.id for s in w.gateway.fleet.up} == {s.id for s in kept}
 
 
 def test_a_list_that_shrinks_below_the_view_is_all_in_view():
     w = world(listed(9000))
-    w.do(api.HostList("full", 2, tuple(listed(50))))
+    w.handle(api.ServerListUpdate("full", 2, tuple(listed(50))))
     for _ in range(40):
-        w.do(api.Timer(0))
-    assert {s.host.id for s in w.gw.fleet.up} == {f"h{n}" for n in range(50)}
-    (send,) = of(w.ask()[1], api.Send)
-    assert send.host in {f"h{n}" for n in range(50)}
+        w.handle(api.TimerExpired(0))
+    assert {s.host.id for s in w.gateway.fleet.up} == {f"h{n}" for n in range(50)}
+    (send,) = actions_of(w.send_request()[1], api.Send)
+    assert send.server in {f"h{n}" for n in range(50)}
 
 
 def retry_lines(servers, gateways=400):
     """Lines of Python that a further attempt takes after one that was reset."""
     w = world(listed(servers), gateways=gateways)
-    (send,) = of(w.ask()[1], api.Send)
-    w.gw.budget, sent = 5.0, []  # a gateway of many may have to wait for a retry
-    lines = executed_lines(lambda: sent.extend(of(w.end(send, "reset"), api.Send)))
-    assert len(sent) == 1 and sent[0].host != send.host
+    (send,) = actions_of(w.send_request()[1], api.Send)
+    w.gateway.budget, sent = 5.0, []  # a gateway of many may have to wait for a retry
+    lines = executed_lines(lambda: sent.extend(actions_of(w.finish_attempt(send, "reset"), api.Send)))
+    assert len(sent) == 1 and sent[0].server != send.server
     return lines
 
 
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -123,7 +123,7 @@
         drains = {"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}
         assert list(node.node.take_list(read_list(json.dumps(drains).encode()))) == []  # in one step
         await done.wait()
-        assert seen == [api.HostList, api.Outcome, "connect_failed"]
+        assert seen == [api.ServerListUpdate, api.Outcome, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
 
 
@@ -313,7 +313,7 @@
             pass
         file = tmp_path / "next.json"
         file.write_text(json.dumps(told([], next_one.port, node.counter.port)))
-        node.node.reload(read_config({"RELAY_CONFIG": str(file)}, again=True))
+        node.node.reload(read_config({"RELAY_CONFIG": str(file)}, reload=True))
         while "index" not in await next_one.calls.get():
             pass  # the new list was told, and its watch is open
         node.discovery.changes.put_nowait([entry(old, "h1")])
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -219,7 +219,7 @@
             def handle(now, event):
                 came.extend([event] * isinstance(event, api.Request))
                 actions = module(now, event)
-                tried.extend(a for a in actions if isinstance(a, api.Send) and a.host == "h2")
+                tried.extend(a for a in actions if isinstance(a, api.Send) and a.server == "h2")
                 return actions
 
             node.node.module.handle = handle
@@ -320,12 +320,14 @@
         server.look()
         asked = [b"API.READ", b"00000000b4d65521", b"r1", terms(d="1000")]
         spent = gateway.WAY_BACK + server.waited()
-        left = read_request(asked, node.node.settings, spent).left
+        left = read_request(asked, node.node.settings, spent).remaining_time
         assert left == pytest.approx(1.0 - gateway.WAY_BACK - late)
         now += clients.LOOK
         server.look()
         spent = gateway.WAY_BACK + server.waited()
-        assert read_request(asked, node.node.settings, spent).left == pytest.approx(1.0 - gateway.WAY_BACK)
+        assert read_request(asked, node.node.settings, spent).remaining_time == pytest.approx(
+            1.0 - gateway.WAY_BACK
+        )
         if late > 1.0:
             now, server.lag = server.looked, 600.0
             assert await node.ask(command(terms=terms(d="1000"))) == b"-BUSY\r\n"  # at once
--- a/tests/test_net_hosts.py
+++ b/tests/test_net_hosts.py
@@ -77,7 +77,7 @@
 
         class Watcher:
             def handle(self, now, event):
-                if isinstance(event, api.Probed):
+                if isinstance(event, api.ProbeResult):
                     seen.append(event)
                     done.set()
                 return []
--- a/tests/test_net_listing.py
+++ b/tests/test_net_listing.py
@@ -159,7 +159,7 @@
         self.table = ServerTable(self.feed, lambda server: self.seen.append(("stop", server)))
 
     def feed(self, event):
-        self.seen.append((event.mode, event.version, [(h.id, h.state) for h in event.hosts]))
+        self.seen.append((event.mode, event.version, [(h.id, h.state) for h in event.servers]))
 
     def take(self, servers, version=3, full=True, mode=None):
         """Takes a list over; how often it gave way, and what was passed on."""
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -267,7 +267,7 @@
             turns += 1
             await asyncio.sleep(0)
         assert turns > len(config.read_bytes()) // (STEPS_AT_ONCE * PIECE) - 1 > 3
-        assert not taken[0].known.entries and taken[0].name == "n0"
+        assert not taken[0].known_servers.entries and taken[0].name == "n0"
         reloader.reload()
         config.write_text(json.dumps(told(listed[:1], 7, 8)))
         reloader.reload()  # the first reading is given up
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,7 +1,7 @@
 import random
 
 import pytest
-from helpers import World, host, of, plan, settings
+from helpers import GatewayHarness, actions_of, make_plan, make_server, make_settings
 
 from calicomast import interface as api
 
@@ -9,240 +9,244 @@
 def served(w, tries, **kw):
     n = 0
     for _ in range(tries):
-        _, acts = w.ask(**kw)
-        for s in of(acts, api.Send):
+        _, acts = w.send_request(**kw)
+        for s in actions_of(acts, api.Send):
             n += 1
-            w.end(s)
+            w.finish_attempt(s)
     return n
 
 
 def test_light_customer_makes_no_call():
-    w = World()
+    w = GatewayHarness()
     assert served(w, 1) == 1
-    assert not [a for _, a in w.log if isinstance(a, api.Count)]
+    assert not [a for _, a in w.action_log if isinstance(a, api.AddToCounter)]
 
 
 def test_lease_is_added_and_quota_is_held():
-    w = World()
+    w = GatewayHarness()
     n = served(w, 40)
     assert 8 <= n <= 16  # the burst, and what the part of the window that has passed has refilled
-    assert [a for _, a in w.log if isinstance(a, api.Count)]
-    assert max(w.counts.values()) <= 16
+    assert [a for _, a in w.action_log if isinstance(a, api.AddToCounter)]
+    assert max(w.counter_totals.values()) <= 16
 
 
 def test_full_window_refuses_at_once_without_calls():
-    w = World()
+    w = GatewayHarness()
     served(w, 40)
-    before = len([a for _, a in w.log if isinstance(a, api.Count)])
-    name, acts = w.ask()
-    assert of(acts, api.Refuse) and len(of(acts, api.Count)) == 0 and before
+    before = len([a for _, a in w.action_log if isinstance(a, api.AddToCounter)])
+    name, acts = w.send_request()
+    assert actions_of(acts, api.Refuse) and len(actions_of(acts, api.AddToCounter)) == 0 and before
 
 
 def test_two_bursts_do_not_pass_back_to_back_at_a_turn():
-    w = World()
+    w = GatewayHarness()
     total = 0
     start = w.now
     while w.now < start + 12:
         total += served(w, 2)
-        w.wait(0.1)
+        w.advance(0.1)
     assert total <= 8 + 2 * (w.now - start) + 4
 
 
 def test_excess_is_taken_back():
-    w = World()
-    w.mode = "hold"
+    w = GatewayHarness()
+    w.counter_mode = "hold"
     calls, sends = [], True
     while sends:  # the last request waits for the call that is out
-        _, acts = w.ask()
-        calls, sends = calls + of(acts, api.Count), of(acts, api.Send)
+        _, acts = w.send_request()
+        calls, sends = calls + actions_of(acts, api.AddToCounter), actions_of(acts, api.Send)
     call = calls[0]
-    acts = w.do(api.Counted(call.name, "ok", 40, 0.002))  # others have filled the window meanwhile
-    assert [c for c in of(acts, api.Count) if c.amount < 0 and c.name == call.name]
-    assert not of(acts, api.Send) and of(acts, api.Refuse)
+    acts = w.handle(api.CounterResult(call.name, "ok", 40, 0.002))  # others have filled the window meanwhile
+    assert [c for c in actions_of(acts, api.AddToCounter) if c.amount < 0 and c.name == call.name]
+    assert not actions_of(acts, api.Send) and actions_of(acts, api.Refuse)
 
 
 def test_timed_out_add_gives_no_units_and_request_is_settled_soon():
-    w = World()
-    w.mode = "silent"
+    w = GatewayHarness()
+    w.counter_mode = "silent"
     start = w.now
     n = served(w, 60)
     assert n <= 8 / 2 + 2 * (w.now - start) + 4  # the even share, never a lease
-    assert all(not j.stage == "units" for j in w.gw.requests.values())
-    assert w.gw.accounts["c"].lease == 0
+    assert all(not j.stage == "units" for j in w.gateway.requests.values())
+    assert w.gateway.accounts["c"].lease == 0
 
 
 def test_silent_counter_calls_back_off():
-    w = World()
-    w.mode = "silent"
+    w = GatewayHarness()
+    w.counter_mode = "silent"
     for _ in range(200):
-        w.ask()
-        w.wait(0.02)
-    assert len([a for _, a in w.log if isinstance(a, api.Count)]) < 20
+        w.send_request()
+        w.advance(0.02)
+    assert len([a for _, a in w.action_log if isinstance(a, api.AddToCounter)]) < 20
 
 
 def test_lost_counts_are_added_again():
-    w = World(settings(plans=[plan(rate=2.0, burst=20.0)]))
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=20.0)]))
     served(w, 12)
-    name = max(w.counts, key=lambda k: w.counts[k])
-    ours = w.counts[name]
+    name = max(w.counter_totals, key=lambda k: w.counter_totals[k])
+    ours = w.counter_totals[name]
     assert ours > 3
-    w.counts.clear()
+    w.counter_totals.clear()
     served(w, 3)
-    assert w.counts[name] >= ours
+    assert w.counter_totals[name] >= ours
 
 
 def test_refused_call_keeps_the_charge_owed():
-    w = World()
-    w.mode = "refuse"
+    w = GatewayHarness()
+    w.counter_mode = "refuse"
     n = served(w, 30)
-    w.mode = "answer"
-    w.wait(1.2)
+    w.counter_mode = "answer"
+    w.advance(1.2)
     served(w, 3)
-    assert max(w.counts.values()) >= n
+    assert max(w.counter_totals.values()) >= n
 
 
 def test_ceiling_holds_at_start_and_without_counter():
-    p = plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0)
+    p = make_plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0)
     for mode in ("answer", "silent", "refuse"):
-        w = World(settings(plans=[p]))
-        w.mode = mode
+        w = GatewayHarness(make_settings(plans=[p]))
+        w.counter_mode = mode
         start, n = w.now, 0
         while w.now < start + 3:
             n += served(w, 4)
-            w.wait(0.05)
+            w.advance(0.05)
             # half of the ceiling's rate: two gateways share the customer, and nothing is there at the start
             assert n <= 5.0 * (w.now - start) + 1
 
 
 def test_open_limit_is_held_over_gateways_by_the_counter():
-    p = plan(rate=50.0, burst=100.0, open_limit=2)
-    a = World(settings(plans=[p]))
-    b = World(settings(plans=[p], index=1), seed=2)
-    b.counts = a.counts
+    p = make_plan(rate=50.0, burst=100.0, concurrency_limit=2)
+    a = GatewayHarness(make_settings(plans=[p]))
+    b = GatewayHarness(make_settings(plans=[p], index=1), seed=2)
+    b.counter_totals = a.counter_totals
     sends = []
     for _ in range(3):
         for w in (a, b):
-            sends += [(w, s) for s in of(w.ask()[1], api.Send)]
+            sends += [(w, s) for s in actions_of(w.send_request()[1], api.Send)]
     assert len(sends) == 2
     w, s = sends[0]
-    w.end(s)
-    assert len(of(w.ask()[1], api.Send)) == 1
+    w.finish_attempt(s)
+    assert len(actions_of(w.send_request()[1], api.Send)) == 1
 
 
 def test_beyond_quota_only_where_it_earns():
-    w = World(settings(plans=[plan(over_worth=0.3, over_cost=0.0)]))
+    w = GatewayHarness(make_settings(plans=[make_plan(over_quota_value=0.3, over_quota_cost=0.0)]))
     assert served(w, 40) == 40
-    w = World(settings(plans=[plan(over_worth=0.3, over_cost=0.5)]))
+    w = GatewayHarness(make_settings(plans=[make_plan(over_quota_value=0.3, over_quota_cost=0.5)]))
     assert served(w, 40) < 40
 
 
 def test_without_counter_the_even_share_is_granted():
-    w = World(settings(counter=False))
+    w = GatewayHarness(make_settings(counter=False))
     n = served(w, 40)
-    assert 4 <= n <= 8 and not [a for _, a in w.log if isinstance(a, api.Count)]
+    assert 4 <= n <= 8 and not [a for _, a in w.action_log if isinstance(a, api.AddToCounter)]
 
 
 def test_plan_without_a_rate_needs_only_open_slots():
-    w = World(settings(plans=[plan(rate=0.0, burst=0.0, open_limit=3)]))
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=0.0, burst=0.0, concurrency_limit=3)]))
     assert served(w, 30) == 30
 
 
 def test_settled_units_are_charged():
-    w = World(settings(settles=True))
-    _, acts = w.ask()
-    s = of(acts, api.Send)[0]
-    w.end(s, actual=6)
+    w = GatewayHarness(make_settings(settles_actual_units=True))
+    _, acts = w.send_request()
+    s = actions_of(acts, api.Send)[0]
+    w.finish_attempt(s, actual_units=6)
     assert served(w, 40) < 11
 
 
 def test_a_quiet_time_does_not_save_up_more_than_the_burst():
-    w = World()
+    w = GatewayHarness()
     acct_len = 4.0
-    w.ask()
-    phase = w.gw.accounts["c"].start
+    w.send_request()
+    phase = w.gateway.accounts["c"].start
     w.now = phase + 2 * acct_len - 0.5  # late in a window that nothing was drawn in
     n = served(w, 60)
     assert n <= 8 + 4 + 1  # the burst, and what its even part passed uncharged
 
 
 def test_debt_is_brought_along_once():
-    a, b = World(settings(plans=[plan(burst=40.0, rate=10.0)])), None
-    b = World(settings(plans=[plan(burst=40.0, rate=10.0)], index=1), seed=2)
-    b.counts = a.counts
+    a, b = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)])), None
+    b = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)], index=1), seed=2)
+    b.counter_totals = a.counter_totals
     start = 0.0
     for turn in range(6):
         for w in (a, b):
             w.now = max(a.now, b.now)
             served(w, 60)
-        start = a.gw.accounts["c"].start
+        start = a.gateway.accounts["c"].start
         a.now = b.now = start + 4.0 + 0.001
-        assert max(a.counts.values()) <= 40 + 10 * 4 + 3, turn  # never more owed than was drawn
+        assert max(a.counter_totals.values()) <= 40 + 10 * 4 + 3, turn  # never more owed than was drawn
 
 
 def test_even_part_of_the_open_limit_needs_no_call():
-    w = World(settings(plans=[plan(rate=50.0, burst=100.0, open_limit=4)]))
-    acts = w.ask()[1] + w.ask()[1]
-    assert len(of(acts, api.Send)) == 2 and not of(acts, api.Count)
-    assert not of(w.ask()[1], api.Send)
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=4)]))
+    acts = w.send_request()[1] + w.send_request()[1]
+    assert len(actions_of(acts, api.Send)) == 2 and not actions_of(acts, api.AddToCounter)
+    assert not actions_of(w.send_request()[1], api.Send)
 
 
 def test_small_burst_over_many_gateways_passes_light_customers_and_holds_busy_ones():
-    w = World(settings(gateways=10, plans=[plan(rate=0.8, burst=3.0)]))
+    w = GatewayHarness(make_settings(gateways=10, plans=[make_plan(rate=0.8, burst=3.0)]))
     for k in range(20):
-        _, acts = w.ask(customer=f"c{k}", spread=8)
-        assert of(acts, api.Send)
-        assert len(of(acts, api.Count)) <= 2  # the second writes off what the store has let run over
-        w.end(of(acts, api.Send)[0])
-    assert served(w, 30, customer="c0", spread=8) <= 6
+        _, acts = w.send_request(tenant=f"c{k}", spread=8)
+        assert actions_of(acts, api.Send)
+        assert (
+            len(actions_of(acts, api.AddToCounter)) <= 2
+        )  # the second writes off what the store has let run over
+        w.finish_attempt(actions_of(acts, api.Send)[0])
+    assert served(w, 30, tenant="c0", spread=8) <= 6
 
 
 def test_the_end_of_a_quota_is_kept_for_what_is_worth_most():
-    w = World(settings(plans=[plan(rate=0.5, burst=40.0)]))
-    low = served(w, 100, cls="read")
-    high = served(w, 100, cls="write")
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=40.0)]))
+    low = served(w, 100, service_class="read")
+    high = served(w, 100, service_class="write")
     assert high >= 5  # nothing would be left without what was kept
     assert low >= 25
 
 
 def test_ordinary_path_is_back_within_two_seconds_after_the_counter_was_silent():
-    w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
-    w.mode = "silent"
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    w.counter_mode = "silent"
     for _ in range(80):
-        for s in of(w.ask()[1], api.Send):
-            w.end(s)
-        w.wait(0.02)
-    w.mode, start = "answer", w.now
+        for s in actions_of(w.send_request()[1], api.Send):
+            w.finish_attempt(s)
+        w.advance(0.02)
+    w.counter_mode, start = "answer", w.now
     while w.now < start + 2:
-        for s in of(w.ask()[1], api.Send):
-            w.end(s)
-        w.wait(0.04)
-    assert w.gw.counter.fails == 0
-    assert [a for t, a in w.log if isinstance(a, api.Count) and t > start]
+        for s in actions_of(w.send_request()[1], api.Send):
+            w.finish_attempt(s)
+        w.advance(0.04)
+    assert w.gateway.counter.fails == 0
+    assert [a for t, a in w.action_log if isinstance(a, api.AddToCounter) and t > start]
 
 
 def test_rest_of_the_open_limit_is_shared_by_a_count():
-    conf = [settings(index=k, plans=[plan(rate=50.0, burst=100.0, open_limit=3)]) for k in (0, 1)]
-    a, b = World(conf[0]), World(conf[1], seed=2)
-    b.counts = a.counts
-    assert sum(len(of(w.ask()[1], api.Send)) for _ in range(3) for w in (a, b)) == 3
+    conf = [
+        make_settings(index=k, plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=3)]) for k in (0, 1)
+    ]
+    a, b = GatewayHarness(conf[0]), GatewayHarness(conf[1], seed=2)
+    b.counter_totals = a.counter_totals
+    assert sum(len(actions_of(w.send_request()[1], api.Send)) for _ in range(3) for w in (a, b)) == 3
 
 
 def test_an_add_without_answer_leaves_the_requests_on_it_to_the_local_share():
-    w = World(settings(plans=[plan(rate=0.5, burst=8.0)]))
-    w.mode = "hold"
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=8.0)]))
+    w.counter_mode = "hold"
     calls, n = [], 0
     for _ in range(12):
-        acts = w.ask()[1]
-        calls, n = calls + of(acts, api.Count), n + len(of(acts, api.Send))
-    acts = w.do(api.Counted(calls[0].name, "timeout", 0, 0.05))
-    assert w.gw.accounts["c"].lease == 0 and n + len(of(acts, api.Send)) <= 5
-    assert len(of(acts, api.Refuse)) >= 3
+        acts = w.send_request()[1]
+        calls, n = calls + actions_of(acts, api.AddToCounter), n + len(actions_of(acts, api.Send))
+    acts = w.handle(api.CounterResult(calls[0].name, "timeout", 0, 0.05))
+    assert w.gateway.accounts["c"].lease == 0 and n + len(actions_of(acts, api.Send)) <= 5
+    assert len(actions_of(acts, api.Refuse)) >= 3
 
 
 def test_what_a_quiet_half_lets_pass_too_much_is_taken_from_the_next_window():
-    w = World(settings(plans=[plan(rate=2.0, burst=40.0)]))
-    w.ask()
-    w.now = w.gw.accounts["c"].start + 2 * 20.0 - 0.5
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=40.0)]))
+    w.send_request()
+    w.now = w.gateway.accounts["c"].start + 2 * 20.0 - 0.5
     n, start = served(w, 120), w.now
     assert n <= 80
     w.now += 1.0
@@ -254,33 +258,35 @@
     for n in (1, 3, 200):
         passed = 0
         for k in range(n):
-            w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateways=n, index=k), seed=k)
-            w.mode = "silent"
+            w = GatewayHarness(
+                make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateways=n, index=k), seed=k
+            )
+            w.counter_mode = "silent"
             passed += served(w, 3 if n > 10 else 40, spread=n)
         assert passed <= 2.5 * 8, n  # two windows may be met
 
 
 def test_plan_share_passes_what_was_granted_before_while_the_counter_is_away():
-    w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateways=100))
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateways=100))
     before = 0
     for k in range(200):
-        before += served(w, 1, customer=f"b{k}", spread=60)
+        before += served(w, 1, tenant=f"b{k}", spread=60)
         w.now += 0.1
-    w.mode, during = "silent", 0
+    w.counter_mode, during = "silent", 0
     for k in range(200):
-        during += served(w, 1, customer=f"d{k}", spread=60)
+        during += served(w, 1, tenant=f"d{k}", spread=60)
         w.now += 0.1
     assert before > 150 and 40 < during <= before + 20
 
 
 def test_customers_that_come_once_do_not_pile_up():
-    w = World(settings(plans=[plan(rate=1000.0, burst=4000.0)]))
-    busy = w.ask("busy", left=1000.0)[1]
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=1000.0, burst=4000.0)]))
+    busy = w.send_request("busy", remaining_time=1000.0)[1]
     for n in range(2000):
-        for send in of(w.ask(f"c{n}")[1], api.Send):
-            w.end(send)
+        for send in actions_of(w.send_request(f"c{n}")[1], api.Send):
+            w.finish_attempt(send)
         w.now += 0.1
-    assert len(w.gw.accounts) < 350 and busy
+    assert len(w.gateway.accounts) < 350 and busy
 
 
 def test_a_spoilt_answer_of_the_counter_does_not_stop_the_next_call():
@@ -289,92 +295,98 @@
         ("timeout", 0.002, True),
         ("timeout", 0.05, False),
     ):
-        w = World(settings(plans=[plan(rate=2.0, burst=8.0)]))
-        w.mode = "hold"
+        w = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)]))
+        w.counter_mode = "hold"
         calls = []
         while not calls:
-            calls = of(w.ask()[1], api.Count)
-        w.do(api.Counted(calls[0].name, result, 0.0, elapsed))
-        assert bool([a for n in range(8) for a in of(w.ask(f"c{n % 2}")[1], api.Count)]) == again
+            calls = actions_of(w.send_request()[1], api.AddToCounter)
+        w.handle(api.CounterResult(calls[0].name, result, 0.0, elapsed))
+        assert (
+            bool([a for n in range(8) for a in actions_of(w.send_request(f"c{n % 2}")[1], api.AddToCounter)])
+            == again
+        )
 
 
 def test_units_added_by_a_call_with_a_spoilt_answer_are_not_lost():
-    w = World(settings(plans=[plan(rate=0.001, burst=40.0)]))
-    real, calls = w.counts, 0
-    w.mode = "hold"
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=40.0)]))
+    real, calls = w.counter_totals, 0
+    w.counter_mode = "hold"
     sent = refused = 0
     for _ in range(60):
-        acts = w.ask()[1]
+        acts = w.send_request()[1]
         while acts:
-            sent += len(of(acts, api.Send))
-            refused += len(of(acts, api.Refuse))
-            after = [a for s in of(acts, api.Send) for a in w.end(s)]
-            for call in of(acts, api.Count):
+            sent += len(actions_of(acts, api.Send))
+            refused += len(actions_of(acts, api.Refuse))
+            after = [a for s in actions_of(acts, api.Send) for a in w.finish_attempt(s)]
+            for call in actions_of(acts, api.AddToCounter):
                 calls += 1
                 real[call.name] = real.get(call.name, 0) + call.amount
                 told = ("spoilt", 0.0) if calls % 3 else ("ok", real[call.name])
-                after += w.do(api.Counted(call.name, *told, 0.002))
+                after += w.handle(api.CounterResult(call.name, *told, 0.002))
             acts = after
     assert calls > 6 and 36 <= sent <= 46 and sent + refused == 60
     assert max(real.values()) <= 48
 
 
 def test_units_are_added_again_once_when_the_counter_lost_its_counts():
-    w = World(settings(plans=[plan(rate=0.001, burst=100.0)]))
-    while len([a for _, a in w.log if isinstance(a, api.Count)]) < 6:
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=100.0)]))
+    while len([a for _, a in w.action_log if isinstance(a, api.AddToCounter)]) < 6:
         served(w, 1)
-    (name,), before = w.counts, max(w.counts.values())
-    w.counts.clear()
-    calls = len(w.log)
+    (name,), before = w.counter_totals, max(w.counter_totals.values())
+    w.counter_totals.clear()
+    calls = len(w.action_log)
     served(w, 12)
-    again = [a.amount for _, a in w.log[calls:] if isinstance(a, api.Count)]
-    assert len(again) > 4 and w.counts[name] <= before + 14  # not twice, not ever more
+    again = [a.amount for _, a in w.action_log[calls:] if isinstance(a, api.AddToCounter)]
+    assert len(again) > 4 and w.counter_totals[name] <= before + 14  # not twice, not ever more
 
 
 def next_call(w):
     """The next call that asks for units, however many requests pass before."""
     for _ in range(200):
         w.now += 0.01
-        calls = [c for c in of(w.ask()[1], api.Count) if c.amount > 0]
+        calls = [c for c in actions_of(w.send_request()[1], api.AddToCounter) if c.amount > 0]
         if calls:
             return calls[0]
     raise AssertionError("no call")
 
 
 def test_the_overdraft_is_brought_along_though_the_first_answer_is_lost():
-    w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
-    w.mode = "hold"
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    w.counter_mode = "hold"
     call = next_call(w)
-    w.gw.accounts["c"].debt = 5.0
-    w.do(api.Counted(call.name, "timeout", 0.0, 0.002))  # its line broke: it may have been added
+    w.gateway.accounts["c"].debt = 5.0
+    w.handle(api.CounterResult(call.name, "timeout", 0.0, 0.002))  # its line broke: it may have been added
     second = next_call(w)
-    acts = w.do(api.Counted(call.name, "ok", call.amount + second.amount, 0.002))
-    assert [c.amount for c in of(acts, api.Count) if c.amount >= 5]
+    acts = w.handle(api.CounterResult(call.name, "ok", call.amount + second.amount, 0.002))
+    assert [c.amount for c in actions_of(acts, api.AddToCounter) if c.amount >= 5]
 
 
 def test_what_could_not_be_added_is_not_taken_for_lost_from_the_count():
-    w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
-    w.mode = "hold"
+    w = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    w.counter_mode = "hold"
     call = next_call(w)
-    w.gw.accounts["c"].debt = 5.0
-    assert of(w.do(api.Counted(call.name, "ok", call.amount, 0.002)), api.Count)
-    w.do(api.Counted(call.name, "full", 0.0, 0.002))  # the overdraft
+    w.gateway.accounts["c"].debt = 5.0
+    assert actions_of(w.handle(api.CounterResult(call.name, "ok", call.amount, 0.002)), api.AddToCounter)
+    w.handle(api.CounterResult(call.name, "full", 0.0, 0.002))  # the overdraft
     second = next_call(w)
-    acts = w.do(api.Counted(call.name, "ok", call.amount + second.amount, 0.002))
-    assert sum(c.amount for c in of(acts, api.Count)) < call.amount
+    acts = w.handle(api.CounterResult(call.name, "ok", call.amount + second.amount, 0.002))
+    assert sum(c.amount for c in actions_of(acts, api.AddToCounter)) < call.amount
 
 
 def crowded(mode="refuse"):
     """One gateway of many, by itself with its customers; the counter turns all calls away."""
-    w = World(settings(plans=[plan(rate=0.5, burst=2.0)], gateways=40), [host(f"h{n}") for n in range(60)])
-    w.mode = mode
+    w = GatewayHarness(
+        make_settings(plans=[make_plan(rate=0.5, burst=2.0)], gateways=40),
+        [make_server(f"h{n}") for n in range(60)],
+    )
+    w.counter_mode = mode
     return w
 
 
 def passes(w, customer="c"):
-    sends = of(w.ask(customer=customer, spread=30)[1], api.Send)
+    sends = actions_of(w.send_request(tenant=customer, spread=30)[1], api.Send)
     for send in sends:
-        w.end(send)
+        w.finish_attempt(send)
     return len(sends)
 
 
@@ -397,25 +409,26 @@
 def test_what_the_counter_grants_at_a_level_decides_what_passes_there_unasked():
     w = crowded("hold")
     for k in range(30):  # counts at their end, of customers that look quiet here
-        for c in of(w.ask(customer=f"c{k}", spread=30)[1], api.Count):
-            w.do(api.Counted(c.name, "ok", 50.0, 0.002))
-    w.mode = "refuse"
+        for c in actions_of(w.send_request(tenant=f"c{k}", spread=30)[1], api.AddToCounter):
+            w.handle(api.CounterResult(c.name, "ok", 50.0, 0.002))
+    w.counter_mode = "refuse"
     assert not any(passes(w, f"d{k}") for k in range(10))
 
 
 def test_a_call_turned_away_is_not_made_again_for_the_same_request():
-    _, acts = crowded().ask(spread=30)
-    assert len(of(acts, api.Count)) == 1
+    _, acts = crowded().send_request(spread=30)
+    assert len(actions_of(acts, api.AddToCounter)) == 1
 
 
 def test_a_customer_of_many_gateways_that_keeps_just_within_its_rate_is_hardly_refused():
     rng, counts = random.Random(5), {}
     worlds = [
-        World(settings(gateways=20, plans=[plan(rate=4.0, burst=8.0)], index=k), seed=k) for k in range(20)
+        GatewayHarness(make_settings(gateways=20, plans=[make_plan(rate=4.0, burst=8.0)], index=k), seed=k)
+        for k in range(20)
     ]
     passed = 0
     for w in worlds:
-        w.counts = counts
+        w.counter_totals = counts
     for k in range(200):
         w = rng.choice(worlds)
         w.now = 1000.0 + k / 3.6
@@ -425,27 +438,29 @@
 
 def thin(**kw):
     """A gateway of many, and a customer whose even part of the burst is less than a unit."""
-    return World(settings(gateways=20, limits={"max_retry_after": 60.0}, **kw))
+    return GatewayHarness(make_settings(gateways=20, limits={"max_retry_after": 60.0}, **kw))
 
 
 @pytest.mark.parametrize("share, least, most", [(0.99, 0.95, 1.0), (0.6, 0.02, 0.5)])
 def test_what_passes_unasked_loses_a_bounded_part_of_what_passes(share, least, most):
     """The counter turns all away in the end, and as many were granted at every level as `share` says."""
-    w = thin(plans=[plan(over_cost=1.0)])
-    w.mode = "refuse"
-    for use in w.gw.uses.values():
+    w = thin(plans=[make_plan(over_quota_cost=1.0)])
+    w.counter_mode = "refuse"
+    for use in w.gateway.uses.values():
         use.share, use.seen = share, 50
     passed = asked = 0
     for n in range(600):
         asked += 1
-        for send in of(w.ask(customer=f"c{n}", spread=20)[1], api.Send):
+        for send in actions_of(w.send_request(tenant=f"c{n}", spread=20)[1], api.Send):
             passed += 1
-            w.end(send)
-        w.wait(0.02)
+            w.finish_attempt(send)
+        w.advance(0.02)
     assert least <= passed / asked <= most
 
 
 def test_a_class_of_no_worth_is_answered():
     none = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 0.0, 0.0, False, 0.0)
     w = thin(classes={"read": none})
-    assert [a for n in range(30) for a in w.ask(customer=f"c{n}", spread=20)[1] if isinstance(a, api.Send)]
+    assert [
+        a for n in range(30) for a in w.send_request(tenant=f"c{n}", spread=20)[1] if isinstance(a, api.Send)
+    ]
