--- a/calicomast/net/attempts.py
+++ b/calicomast/net/attempts.py
@@ -55,7 +55,7 @@
                 begun=work.attempts_written,
                 most_attempts=self._limits.max_attempts,
                 others_out=len(work.active_attempts) - (number in work.active_attempts),
-                second_copies=self._limits.second_copies,
+                second_copies=self._limits.hedging,
                 server_listed=self._listed(attempt.server),
                 start_budget=not (connected_late and attempt.slow_start)
                 or self._admits_late(self._clock(), work.id, number, attempt.server),
@@ -94,7 +94,7 @@
             return Invariant.ATTEMPT_AFTER_ANSWER
         if work.attempts_written > limits.max_attempts:
             return Invariant.ATTEMPT_LIMIT
-        if len(work.active_attempts) > 1 and not limits.second_copies:
+        if len(work.active_attempts) > 1 and not limits.hedging:
             return Invariant.SECOND_ATTEMPT
         if attempt.retry_until < math.inf and self._clock() > attempt.retry_until + HOLD_UP:
             return Invariant.REPEAT_WINDOW
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -1,7 +1,8 @@
 """Feeds what happens on the sockets to the one decision module and carries out what it decides.
 
 Nothing here decides. This file owns the timers and each request's single final answer. Each event and action
-of interface.py has its place here, but for Began and Message: the sockets know no streams and no peers.
+of interface.py has its place here, but for AttemptStarted and PeerMessage: the sockets know no streams
+and no peers.
 """
 
 from __future__ import annotations
@@ -78,15 +79,15 @@
         self.event_log = EventLog()
         longest = self.longest = max(cls.deadline for cls in self.settings.classes.values())
         self.shutdown_timeout = min(longest, KILL_MOST) + KILL_MORE - min(KILL_MARGIN, longest / 2)
-        room = max(config.sockets - SPARE_SOCKETS, config.sockets // 2)
+        room = max(config.max_sockets - SPARE_SOCKETS, config.max_sockets // 2)
         # Bodies in work and half commands are bounded: past the limit of memory the program is killed.
-        self.most_held = max(LEAST_HELD, (config.memory - BASE_MEMORY_BYTES) // 4)
+        self.most_held = max(LEAST_HELD, (config.memory_limit - BASE_MEMORY_BYTES) // 4)
         self.clients = ClientConnections(self, room // 2, self.most_held, self.event_log)
         self.server_table = ServerTable(
             self.feed, lambda server: self.server_connections.stop_server(server), self.clock.local_start_time
         )
         self.server_connections = ServerConnections(
-            config.connect_timeout, config.idle_close, room // 2, self.server_table.address_of
+            config.connect_timeout, config.server_idle_timeout, room // 2, self.server_table.address_of
         )
         self.control = AttemptControl(
             config.settings, self.clock, self.server_table.is_available, self.admits_late, self.event_log
@@ -94,27 +95,29 @@
         self.counter = (
             CounterClient(config.counter, self.settings.counter_timeout) if config.counter else None
         )
-        self.max_server_list_bytes = max_server_list_bytes(config.memory)
+        self.max_server_list_bytes = max_server_list_bytes(config.memory_limit)
         self.discovery_generation = 0  # discoveries that were named one after another
-        self.discovery = self.new_discovery(config, config.known.version, held=bool(config.known.entries))
+        self.discovery = self.new_discovery(
+            config, config.known_servers.version, held=bool(config.known_servers.entries)
+        )
         self.endings: set[asyncio.Task[None]] = set()  # what a new configuration replaced, until it has ended
         self.actions = {
             api.Send: self.send,
             api.Refuse: self.refuse,
             api.Fail: self.fail,
             api.Cancel: self.cancel,
-            api.Count: self.count,
+            api.AddToCounter: self.count,
             api.SetTimer: self.set_timer,
             api.Probe: self.probe,
-            api.Close: lambda a: self.server_connections.close_idle(a.host),
-            api.Fetch: lambda a: self.discovery.fetch(),
-            api.Watch: lambda a: self.discovery.watch(a.on),
+            api.CloseConnections: lambda a: self.server_connections.close_idle(a.server),
+            api.FetchServerList: lambda a: self.discovery.fetch(),
+            api.WatchServerList: lambda a: self.discovery.watch(a.enabled),
             api.Log: lambda a: log.info("module: %s", a.text),
         }
 
     async def start(self) -> None:
         """All but the listener: before the first client comes the module knows its hosts."""
-        for _ in self.apply_server_list(self.config.known):
+        for _ in self.apply_server_list(self.config.known_servers):
             pass
         self.server_connections.start_idle_checks()
         if self.counter:
@@ -132,7 +135,11 @@
             self.event_log.log(EventKind.CONFIGURATION, Verdict.SHUTTING_DOWN.value)
             return
         old, self.config = self.config, config
-        if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
+        if (old.settings, old.listen, old.max_sockets) != (
+            config.settings,
+            config.listen,
+            config.max_sockets,
+        ):
             log.warning("only new addresses of discovery and counter are taken up before the next start")
         if self.counter and config.counter:
             self.counter.change_address(config.counter)
@@ -208,7 +215,7 @@
         self.finish_request(work, FAILED_RESPONSE)
         for attempt in list(work.active_attempts.values()):
             self.server_connections.cancel_attempt(attempt, "cancelled")
-        self.feed(api.Gone(work.id))
+        self.feed(api.ClientDisconnected(work.id))
 
     def apply_server_list(self, listing: ServerList, source: int = 0) -> Iterator[None]:
         """Takes a list of servers over in slices; raises ValueError if it may not be put in force. `source`:
@@ -232,7 +239,7 @@
 
     def list_failed(self) -> None:
         if self.settings.discovery == "ask":
-            self.feed(api.HostList("failed", self.discovery.version, ()))
+            self.feed(api.ServerListUpdate("failed", self.discovery.version, ()))
 
     # Clients
 
@@ -259,7 +266,7 @@
         verdict = may_take_request(
             ending=self.refusing,
             in_work=len(self.active_requests),
-            most_in_work=self.config.max_open,
+            most_in_work=self.config.max_active_requests,
             held=self.held_body_bytes,
             most_held=self.most_held,
         )
@@ -268,15 +275,17 @@
             slot.reply(BUSY)
             return
         now = time.monotonic()
-        work = ActiveRequest(request.id, slot, command, now + request.left)
+        work = ActiveRequest(request.id, slot, command, now + request.remaining_time)
         slot.active_request, slot.expires_at = (
             work,
-            now + min(request.left + RESPONSE_MARGIN, self.longest) + LATE_ANSWER_GRACE,
+            now + min(request.remaining_time + RESPONSE_MARGIN, self.longest) + LATE_ANSWER_GRACE,
         )
         self.active_requests[request.id] = work
         self.held_body_bytes += len(command[-1])
         work.deadline_timer = self.loop.call_later(
-            max(0.0, request.left + RESPONSE_MARGIN - DEADLINE_GUARD_MARGIN), self.fail_overdue, work
+            max(0.0, request.remaining_time + RESPONSE_MARGIN - DEADLINE_GUARD_MARGIN),
+            self.fail_overdue,
+            work,
         )
         self.feed(request)
 
@@ -285,7 +294,7 @@
         work = slot.active_request
         if work is not None and not work.finished:
             self.finish_request(work, b"")
-            self.feed(api.Gone(work.id))
+            self.feed(api.ClientDisconnected(work.id))
 
     def fail_overdue(self, work: ActiveRequest) -> None:
         """Guards the client's deadline against a module that says nothing."""
@@ -336,13 +345,13 @@
             return
         number = work.attempts_created
         work.attempts_created += 1
-        attempt = Attempt(action.host, self.prepare_payload, self.attempt_done, (work, number))
-        attempt.retry_until, attempt.slow_start = action.repeat_until, action.cold
+        attempt = Attempt(action.server, self.prepare_payload, self.attempt_done, (work, number))
+        attempt.retry_until, attempt.slow_start = action.retry_deadline, action.slow_start
         verdict = self.control.may_write(attempt, connected_late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
                 self.finish_request(work, b"")
-            self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, work.finished))
+            self.feed(api.Outcome(work.id, number, action.server, "moot", 0.0, work.finished))
             return
         work.active_attempts[number] = attempt
         attempt.permitted = True  # for as long as this step lasts
@@ -373,7 +382,7 @@
         if result != "ok":
             ids = {"id": work.id, "attempt": number, "server": attempt.server, "state": work.state.value}
             self.event_log.log(EventKind.ATTEMPT_ENDED, result, **ids)
-        if over and (result == "connect_failed" or result in api.NEVER_BEGAN):
+        if over and (result == "connect_failed" or result in api.NOT_STARTED_RESULTS):
             result = "moot"  # called off before it was sent, which says nothing of the host
         elif result == "ok" and not over:
             self.finish_request(work, encode_bulk_string(attempt.value))
@@ -386,7 +395,7 @@
                 result,
                 attempt.elapsed(),
                 work.finished,
-                used=attempt.quota_usage,
+                quota_use=attempt.quota_usage,
                 report=attempt.report,
             )
         )
@@ -397,19 +406,19 @@
             self.server_connections.cancel_attempt(work.active_attempts[action.attempt], "cancelled")
 
     def probe(self, action: api.Probe) -> None:
-        self.server_connections.probe(action.host, self.probed)
+        self.server_connections.probe(action.server, self.probed)
 
     def probed(self, attempt: Attempt) -> None:
-        self.feed(api.Probed(attempt.server, attempt.result, attempt.elapsed(), attempt.report))
+        self.feed(api.ProbeResult(attempt.server, attempt.result, attempt.elapsed(), attempt.report))
 
-    def count(self, action: api.Count) -> None:
+    def count(self, action: api.AddToCounter) -> None:
         if self.counter is None:
             self.loop.call_soon(self.counted, action.name, "connect_failed", 0.0, 0.0)
         else:
             self.counter.add(action.name, action.amount, action.lifetime, self.counted)
 
     def counted(self, name: int, result: str, total: float, elapsed: float) -> None:
-        self.feed(api.Counted(name, result, total, elapsed))
+        self.feed(api.CounterResult(name, result, total, elapsed))
 
     def set_timer(self, action: api.SetTimer) -> None:
         self.loop.call_later(action.delay, self.due, action.label, self.clock() + action.delay)
@@ -421,7 +430,7 @@
         if left > 0:
             self.loop.call_later(left + 0.001, self.due, label, at)
         else:
-            self.feed(api.Timer(label))
+            self.feed(api.TimerExpired(label))
 
     # The end
 
--- a/calicomast/net/server_connections.py
+++ b/calicomast/net/server_connections.py
@@ -23,7 +23,7 @@
 from calicomast.net.lifecycle import AttemptState, ServerConnectionState, transition
 from calicomast.net.local_errors import is_local_error
 from calicomast.net.server_list import Address
-from calicomast.settings import read_report
+from calicomast.settings import read_load_report
 
 REUSE_DELAY = (
     0.02  # s after an answer in which what comes behind it can still show itself: some milliseconds late
@@ -47,7 +47,8 @@
 
 class Attempt:
     """One command for one host. `begin` gives what is written, in the same step as the write, or None if it
-    may not begin any more. `done` gets the attempt once, when `result` (of interface.RESULTS) is known.
+    may not begin any more. `done` gets the attempt once, when `result` (of interface.ATTEMPT_RESULTS) is
+    known.
 
     Attributes:
         retry_until: clock time by which it has to be written, as a repeat.
@@ -114,7 +115,7 @@
         text = text.decode("utf-8", "replace")
     if not isinstance(text, str) or not REPORT.fullmatch(text):
         return {}
-    report = read_report(pair.split("=", 1) for pair in text.rstrip(",").split(","))
+    report = read_load_report(pair.split("=", 1) for pair in text.rstrip(",").split(","))
     return report if all(v <= MOST_LOAD for v in report.values()) else {}
 
 
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -134,7 +134,7 @@
         # in one step
         assert list(node.service.apply_server_list(parse_server_list(json.dumps(drains).encode()))) == []
         await done.wait()
-        assert seen == [api.HostList, api.Outcome, "connect_failed"]
+        assert seen == [api.ServerListUpdate, api.Outcome, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
 
 
@@ -324,7 +324,7 @@
             pass
         file = tmp_path / "next.json"
         file.write_text(json.dumps(gateway_config([], next_one.port, node.counter.port)))
-        node.service.reload(read_config({"RELAY_CONFIG": str(file)}, again=True))
+        node.service.reload(read_config({"RELAY_CONFIG": str(file)}, reload=True))
         while "index" not in await next_one.calls.get():
             pass  # the new list was told, and its watch is open
         node.discovery.changes.put_nowait([server_entry(old, "h1")])
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -227,7 +227,7 @@
             def handle(now, event):
                 came.extend([event] * isinstance(event, api.Request))
                 actions = module(now, event)
-                tried.extend(a for a in actions if isinstance(a, api.Send) and a.host == "h2")
+                tried.extend(a for a in actions if isinstance(a, api.Send) and a.server == "h2")
                 return actions
 
             node.service.policy.handle = handle
@@ -336,12 +336,12 @@
         server.poll_disconnects()
         asked = [b"API.READ", b"00000000b4d65521", b"r1", command_fields(d="1000")]
         spent = gateway.RESPONSE_MARGIN + server.loop_lag()
-        left = parse_request(asked, node.service.settings, spent).left
+        left = parse_request(asked, node.service.settings, spent).remaining_time
         assert left == pytest.approx(1.0 - gateway.RESPONSE_MARGIN - late)
         now += clients.DISCONNECT_POLL_INTERVAL
         server.poll_disconnects()
         spent = gateway.RESPONSE_MARGIN + server.loop_lag()
-        assert parse_request(asked, node.service.settings, spent).left == pytest.approx(
+        assert parse_request(asked, node.service.settings, spent).remaining_time == pytest.approx(
             1.0 - gateway.RESPONSE_MARGIN
         )
         if late > 1.0:
