--- a/calicomast/interface.py
+++ b/calicomast/interface.py
@@ -266,7 +266,7 @@
     server: str
     timeout: float = 0  # 0: until the client gives up
     retry_deadline: float = math.inf  # clock time by which it has to be written, as a repeat
-    slow_start: bool = False  # a write that is late needs Gateway.admits_late
+    slow_start: bool = False  # a write that is late needs GatewayPolicy.admits_delayed_attempt
 
 
 @dataclass(frozen=True, slots=True)
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -34,7 +34,7 @@
 from calicomast.net.server_connections import Attempt, ServerConnections
 from calicomast.net.server_list import ServerList
 from calicomast.net.server_table import ServerTable
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 from calicomast.rules import Verdict, may_take_request
 
 RESPONSE_MARGIN = 0.03  # s before the client gives up by which the module is to be done
@@ -70,7 +70,7 @@
     def __init__(self, config: Config) -> None:
         self.config, self.settings, self.clock = config, config.settings, Clock()
         self.loop = asyncio.get_running_loop()
-        self.policy = Gateway(config.settings, config.seed, self.clock())
+        self.policy = GatewayPolicy(config.settings, config.seed, self.clock())
         self.active_requests: dict[str, ActiveRequest] = {}
         self.held_body_bytes = 0  # bytes of bodies in work
         self.events: deque[api.Event] = deque()
@@ -361,7 +361,7 @@
 
     def admits_late(self, now: float, id: str, number: int, server: str) -> bool:
         """Asks the module about an attempt at a cold server whose connection came up late."""
-        return self.policy.admits_late(now, id, number, server)
+        return self.policy.admits_delayed_attempt(now, id, number, server)
 
     def prepare_payload(self, attempt: Attempt) -> bytes | None:
         """What goes to the server, worked out as its connection is there to be written to; None if it may not
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """A scripted world for one or several gateways: it answers nothing by itself."""
 
 from calicomast import interface as api
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 
 READ = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 1.0, 0.0, False, 0.0)
 WRITE = api.ServiceClass("write", 1.0, 3.0, "keyed", "zone", 1.0, 3.0, 0.0, False, 0.0)
@@ -72,7 +72,7 @@
 class GatewayHarness:
     def __init__(self, settings=None, servers=None, seed=1, start=1000.0):
         self.now, self.settings = start, settings or make_settings()
-        self.gateway = Gateway(self.settings, seed, start)
+        self.gateway = GatewayPolicy(self.settings, seed, start)
         self.action_log, self.request_count = [], 0
         self.counter_totals = {}
         self.counter_mode = "answer"  # or "silent", "refuse", "hold"
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -215,7 +215,7 @@
     """Lines of Python that a further attempt takes after one that was reset."""
     w = world(listed(servers), gateways=gateways)
     (send,) = actions_of(w.send_request()[1], api.Send)
-    w.gateway.budget, sent = 5.0, []  # a gateway of many may have to wait for a retry
+    w.gateway.retry_budget, sent = 5.0, []  # a gateway of many may have to wait for a retry
     lines = executed_lines(lambda: sent.extend(actions_of(w.finish_attempt(send, "reset"), api.Send)))
     assert len(sent) == 1 and sent[0].server != send.server
     return lines
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -235,7 +235,7 @@
         for s in actions_of(w.send_request(tenant=f"c{k}")[1], api.Send):
             w.finish_attempt(s)
         w.now += 1.0
-    assert len(w.gateway.accounts) < 70
+    assert len(w.gateway.tenant_quotas) < 70
 
 
 def test_overload_of_servers_sheds_what_is_worth_least_with_many_gateways():
