--- a/calicomast/health.py
+++ b/calicomast/failure_detector.py
@@ -20,18 +20,20 @@
     Harm: after a chance failure a sound host gets less until half is forgotten."""
 
     def __init__(self) -> None:
-        self.hosts: dict[str, dict[str, tuple[float, float]]] = {}  # by host and level: chance, when known
+        self.estimates: dict[
+            str, dict[str, tuple[float, float]]
+        ] = {}  # by host and level: chance, when known
         self.pool: dict[str, float] = {}
 
     def at(self, host: str, key: str, now: float) -> float:
         pool = self.pool.get(key, DOUBT_LEAST)
-        known = self.hosts[host].get(key) if host in self.hosts else None
+        known = self.estimates[host].get(key) if host in self.estimates else None
         return pool if known is None else pool + (known[0] - pool) * 0.5 ** ((now - known[1]) / FORGET)
 
     def sound(self, host: str, keys: tuple[str, ...], now: float) -> float:
         return (1 - max(self.at(host, key, now) for key in keys)) ** 2
 
-    def note(self, host: str, keys: tuple[str, ...], failed: bool, now: float) -> None:
+    def record(self, host: str, keys: tuple[str, ...], failed: bool, now: float) -> None:
         most = max(self.pool.get(key, DOUBT_LEAST) for key in keys)
         for key in keys:
             pool, q = self.pool.get(key, DOUBT_LEAST), self.at(host, key, now)
@@ -39,8 +41,8 @@
                 q += (q * FAILS / (q * FAILS + (1 - q) * CHANCE) - q) * (pool / most) ** 2
             else:  # any answer shows that the host as a whole works, but not that it serves the other kinds
                 q = 0.0 if key == keys[0] else q * (1 - FAILS) / (q * (1 - FAILS) + (1 - q) * (1 - CHANCE))
-            self.hosts.setdefault(host, {})[key] = (q, now)
+            self.estimates.setdefault(host, {})[key] = (q, now)
             self.pool[key] = min(DOUBT_MOST, max(DOUBT_LEAST, pool + GAIN * (q - pool)))
 
     def forget(self, host: str) -> None:
-        self.hosts.pop(host, None)
+        self.estimates.pop(host, None)
--- a/calicomast/leases.py
+++ b/calicomast/leases.py
@@ -23,7 +23,7 @@
     stable_hash,
 )
 from calicomast.rules import RefusalReason
-from calicomast.servers import TICK, Fleet
+from calicomast.servers import TICK, LoadBalancer
 
 RESERVE = 0.2  # share of a burst kept from the class worth least a unit, for the one worth most
 CROWD = 0.3  # worth of a call's time at the full time-out (c1 grows as the counter slows), squared share
@@ -46,7 +46,7 @@
 
     set: api.Settings
     rng: random.Random
-    fleet: Fleet
+    balancer: LoadBalancer
     counter: Counter
     uses: dict[tuple[str, int], PlanUse]
     requests: dict[str, PendingRequest]
@@ -110,7 +110,7 @@
             return
         if now < acct.full_until or self.spare(now, pending) < 0:
             wait = (pending.req.units - room) / acct.plan.rate
-            self.beyond(now, pending, RefusalReason.QUOTA, wait)
+            self.beyond(now, pending, RefusalReason.OVER_QUOTA, wait)
         elif ask and self.counter.usable(now):
             acct.waiting.append(pending.req.id)
             self.check_at(now + 2 * self.counter.timeout + TICK, pending)
@@ -128,7 +128,7 @@
             pending.acct.used += units
             self.want_slot(now, pending)
         else:
-            self.beyond(now, pending, RefusalReason.QUOTA_UNKNOWN)
+            self.beyond(now, pending, RefusalReason.COUNTER_UNAVAILABLE)
 
     def risked(self, now: float, loss: float) -> bool:
         """Whether a try may pass unasked, which loses `loss` in the mean. What all such tries lose is bounded
@@ -238,7 +238,11 @@
         acct, plan = pending.acct, pending.plan
         own, shared = divmod(plan.open_limit, acct.spread)
         rate = max(acct.total, acct.used) / max(now - acct.start, acct.length / 4)
-        mean = min(rate, plan.rate or rate) / max(pending.req.units, 1e-9) * self.fleet.mean[pending.cls.name]
+        mean = (
+            min(rate, plan.rate or rate)
+            / max(pending.req.units, 1e-9)
+            * self.balancer.mean_latency[pending.cls.name]
+        )
         over = 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.open_limit))
         cost = max(0.0, plan.over_cost - plan.over_worth)
         pending.stage = "slot"
@@ -255,7 +259,7 @@
             self.check_at(pending.deadline, pending)
             return
         elif plan.open_limit and (plan.open_limit >= acct.spread or over * cost >= 1 - over):
-            self.beyond(now, pending, RefusalReason.OPEN_LIMIT)
+            self.beyond(now, pending, RefusalReason.OPEN_LIMIT_REACHED)
             return
         self.enqueue(now, pending)
 
@@ -270,7 +274,7 @@
         if ok and (pending.done or event.total > acct.plan.open_limit % acct.spread):
             self.count_open(acct, call.window, -1)
         if ok and not pending.done and event.total > acct.plan.open_limit % acct.spread:
-            self.beyond(now, pending, RefusalReason.OPEN_LIMIT)
+            self.beyond(now, pending, RefusalReason.OPEN_LIMIT_REACHED)
         elif not pending.done:
             pending.slot = call.window if ok else 0
             self.enqueue(now, pending) if ok else self.want_slot(now, pending, False)
--- a/calicomast/membership.py
+++ b/calicomast/membership.py
@@ -54,7 +54,7 @@
         self._passed_over = False  # whether there was more than that
 
     @property
-    def limited(self) -> bool:
+    def has_partial_view(self) -> bool:
         """Whether there are servers outside of the view."""
         return math.isfinite(self.bound)
 
@@ -75,7 +75,7 @@
 
     def __contains__(self, server: str) -> bool:
         """Whether a server is up and in view."""
-        return self._is_up(server) and (not self.limited or self.rank(server) <= self.bound)
+        return self._is_up(server) and (not self.has_partial_view or self.rank(server) <= self.bound)
 
     def tell(self, host: api.Host) -> None:
         """Takes a server over as it was told."""
@@ -105,7 +105,7 @@
         """Those held that are not among the ids of a whole list."""
         return [host for name, host in self.hosts.items() if name not in named]
 
-    def proceed(self) -> bool:
+    def continue_rebuild(self) -> bool:
         """Goes on with making the view anew, if it has become too small; whether the view has changed."""
         if self._scan is None:
             return False
@@ -119,7 +119,7 @@
         return False
 
     @property
-    def unfinished(self) -> bool:
+    def is_rebuilding(self) -> bool:
         """Whether the view is being made anew."""
         return self._scan is not None
 
@@ -135,7 +135,7 @@
 
     def _refill(self) -> None:
         small = max(self.subset_size, self.view_size // VIEW_SPARE)
-        if self.limited and self._scan is None and len(self.view) < min(small, self.up):
+        if self.has_partial_view and self._scan is None and len(self.view) < min(small, self.up):
             self._scan, self._found, self._passed_over = iter(list(self.hosts)), [], False
 
     def _find(self, place: tuple[float, str]) -> None:
--- a/calicomast/net/attempts.py
+++ b/calicomast/net/attempts.py
@@ -16,7 +16,7 @@
 from calicomast.net.hosts import Attempt
 from calicomast.net.invariants import MONITOR, Invariant
 from calicomast.net.requests import Work
-from calicomast.rules import HOLD_UP, AttemptFacts, Verdict, may_write_attempt
+from calicomast.rules import MAX_PROCESS_PAUSE, AttemptFacts, Verdict, may_write_attempt
 
 TIME_TOLD = re.compile(rb"[\n,]d=([0-9]+)")  # in a command on the wire
 MOST_TOLD = 200  # bytes of a command in a message
@@ -50,14 +50,14 @@
             AttemptFacts(
                 finished=work.over,
                 client_gone=not work.over and work.slot.client.has_left(),
-                left=work.deadline - monotonic(),
-                repeat_left=attempt.repeat_until - self._clock(),
-                begun=work.begun,
-                most_attempts=self._limits.max_attempts,
-                others_out=len(work.live) - (number in work.live),
-                second_copies=self._limits.second_copies,
+                remaining_time=work.deadline - monotonic(),
+                retry_window_left=attempt.repeat_until - self._clock(),
+                attempts_written=work.begun,
+                max_attempts=self._limits.max_attempts,
+                other_attempts=len(work.live) - (number in work.live),
+                hedging_allowed=self._limits.second_copies,
                 server_listed=self._listed(attempt.host),
-                start_budget=not (late and attempt.cold)
+                within_slow_start_budget=not (late and attempt.cold)
                 or self._admits_late(self._clock(), work.id, number, attempt.host),
             )
         )
@@ -88,7 +88,7 @@
     def _broken(self, attempt: Attempt, work: Work, payload: bytes, left: float) -> Invariant | None:
         """The invariant that does not hold, if one does not."""
         limits, told = self._limits, TIME_TOLD.search(payload)
-        if told is None or int(told[1]) / MILLISECONDS > max(left, 0.0) + HOLD_UP:
+        if told is None or int(told[1]) / MILLISECONDS > max(left, 0.0) + MAX_PROCESS_PAUSE:
             return Invariant.DEADLINE_TOLD
         if work.over:
             return Invariant.ATTEMPT_AFTER_ANSWER
@@ -96,7 +96,7 @@
             return Invariant.ATTEMPT_LIMIT
         if len(work.live) > 1 and not limits.second_copies:
             return Invariant.SECOND_ATTEMPT
-        if attempt.repeat_until < math.inf and self._clock() > attempt.repeat_until + HOLD_UP:
+        if attempt.repeat_until < math.inf and self._clock() > attempt.repeat_until + MAX_PROCESS_PAUSE:
             return Invariant.REPEAT_WINDOW
         if not self._listed(attempt.host):
             return Invariant.SERVER_GONE
--- a/calicomast/net/clients.py
+++ b/calicomast/net/clients.py
@@ -259,10 +259,10 @@
             return  # what was read is answered first
         broken = self.state is ClientState.BROKEN
         verdict = may_close_connection(
-            owed=any(slot.answer is None for slot in self.pending),
-            half_command=self.partial > 0,
-            unread=not broken and not self.partial and self.unread(),
-            broken=broken,
+            response_pending=any(slot.answer is None for slot in self.pending),
+            partial_command=self.partial > 0,
+            unread_input=not broken and not self.partial and self.unread(),
+            framing_lost=broken,
         )
         if verdict is not Verdict.ALLOWED:
             self.server.idle.setdefault(self, monotonic())  # what has come was taken: it is answered first
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -30,7 +30,7 @@
 from calicomast.policy import Gateway
 from calicomast.rules import (
     Verdict,
-    may_take_request,
+    may_accept_request,
 )
 
 WAY_BACK = 0.03  # s before the client gives up by which the module is to be done
@@ -244,12 +244,12 @@
         request = read_request(command, self.settings, WAY_BACK + slot.client.waited())
         if request.id in self.works:
             raise BadRequest("this id is in work")
-        verdict = may_take_request(
-            ending=self.refusing,
-            in_work=len(self.works),
-            most_in_work=self.config.max_open,
-            held=self.held,
-            most_held=self.most_held,
+        verdict = may_accept_request(
+            shutting_down=self.refusing,
+            active_requests=len(self.works),
+            max_active_requests=self.config.max_open,
+            body_bytes=self.held,
+            max_body_bytes=self.most_held,
         )
         if verdict is not Verdict.ALLOWED:
             self.log.note(Kind.REQUEST_REFUSED, verdict.value)
--- a/calicomast/net/requests.py
+++ b/calicomast/net/requests.py
@@ -10,7 +10,7 @@
 from calicomast.net.framing import MOST_BODY
 from calicomast.net.hosts import Attempt
 from calicomast.net.lifecycle import RequestState, change
-from calicomast.rules import time_told
+from calicomast.rules import remaining_time_ms
 
 MOST_LEFT = 3600.0  # s; a client that says it will wait for longer is in error
 READ, WRITE = b"API.READ", b"API.WRITE"
@@ -58,7 +58,7 @@
         from now on."""
         terms = self.command[3]
         start, end = time_field(terms)
-        told = b"%s%d%s" % (terms[:start], time_told(left), terms[end:])
+        told = b"%s%d%s" % (terms[:start], remaining_time_ms(left), terms[end:])
         parts = [*self.command[:3], told, *self.command[4:]]
         return b"*%d\r\n%s" % (len(parts), b"".join([bulk(part) for part in parts]))
 
--- a/calicomast/net/server_table.py
+++ b/calicomast/net/server_table.py
@@ -13,7 +13,7 @@
 from calicomast import interface as api
 from calicomast.net.clock import LONG_AGO
 from calicomast.net.listing import Address, Entry, Listing, read_address
-from calicomast.rules import Verdict, may_apply_list
+from calicomast.rules import Verdict, may_apply_server_list
 
 SLICE = 100  # servers that are passed on at once; about a millisecond's work
 COMPARED = 1000  # servers that are compared at once; about a millisecond's work
@@ -60,11 +60,11 @@
     def check(self, listing: Listing, source_current: bool = True) -> None:
         """Raises ValueError for a list that may not be put in force. `source_current`: whether who told it is
         still the one to listen to."""
-        verdict = may_apply_list(
+        verdict = may_apply_server_list(
             source_current=source_current,
-            whole=listing.mode == "full",
-            empty=listing.empty,
-            some_held=bool(self.entries),
+            is_complete=listing.mode == "full",
+            is_empty=listing.empty,
+            has_servers=bool(self.entries),
         )
         if verdict is not Verdict.ALLOWED:
             raise ValueError(verdict.value)
--- a/calicomast/pending.py
+++ b/calicomast/pending.py
@@ -23,7 +23,7 @@
     value: float  # worth a unit of work
     keys: tuple[str, ...]  # levels at which a host may fail it: wholly, for its class, for its plan
     stage: str = "units"  # units, slot, queue, sent
-    charge: float = 1.0  # against the budget of a cold server, see admission.py
+    charge: float = 1.0  # against the budget of a cold server, see slow_start.py
     level: int = 0  # of the customer's demand, as it looked here
     beyond: bool = False
     slot: int = 0  # open attempt held: own part -1, or the epoch of the shared count
--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -13,12 +13,21 @@
 import random
 
 from calicomast import interface as api
-from calicomast.admission import charge
 from calicomast.leases import LeaseDecisions
 from calicomast.pending import PendingRequest
 from calicomast.quota import GAIN, Account, Call, Counter, PlanUse
-from calicomast.rules import RefusalReason, repeat_until
-from calicomast.servers import LIMIT_MOST, PRESS_SPAN, PRESSED, ROOM_CLEAR, SERVICE_LEAST, TICK, Fleet, Server
+from calicomast.rules import RefusalReason, retry_deadline
+from calicomast.servers import (
+    CONGESTION_TIME_CONSTANT,
+    MAX_ATTEMPTS_PER_SERVER,
+    MIN_SERVICE_TIME,
+    SHEDDING_THRESHOLD,
+    SPARE_CAPACITY_SHARE,
+    TICK,
+    LoadBalancer,
+    ServerState,
+)
+from calicomast.slow_start import slow_start_charge
 
 LEAST_UNITS = 1e-9  # of a request; below it the mean says nothing
 GRANT_PRIOR = (0.7, 0.6, 0.4, 0.2, 0.1)  # share of tries granted at each level of demand, before any was
@@ -35,7 +44,7 @@
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
         self.set, self.born, self.rng = settings, now, random.Random(seed)
-        self.fleet, self.counter = Fleet(settings, self.rng), Counter(settings)
+        self.balancer, self.counter = LoadBalancer(settings, self.rng), Counter(settings)
         self.uses = {
             (p, level): PlanUse(now, share) for p in self.set.plans for level, share in enumerate(GRANT_PRIOR)
         }
@@ -56,8 +65,8 @@
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.out = []
-        self.fleet.now = now
-        self.fleet.proceed()
+        self.balancer.now = now
+        self.balancer.continue_view_rebuild()
         match event:
             case api.Request():
                 self.request(now, event)
@@ -68,7 +77,7 @@
             case api.Timer():
                 self.tick(now)
             case api.HostList():
-                self.fleet.listed(now, event)
+                self.balancer.apply_server_list(now, event)
                 if event.mode == "failed":
                     self.watch_at = now + 1.0
                 elif event.mode == "cached" and self.set.discovery == "ask":
@@ -81,7 +90,7 @@
         while self.checks and self.checks[0][1] not in self.requests:
             heapq.heappop(self.checks)
         trial = self.trial_at if self.queue and self.trial_at > now else math.inf
-        scan = now + TICK if self.fleet.members.unfinished else math.inf
+        scan = now + TICK if self.balancer.membership.is_rebuilding else math.inf
         at = min(self.checks[0][0] if self.checks else math.inf, self.watch_at, trial, scan)
         if at < self.timer_at:  # what is due next; nothing when idle
             self.timer_at = at
@@ -97,18 +106,18 @@
         self.free_accounts(now)
         worth = cls.worth * plan.price * req.units
         self.worth += (GAIN if self.worth else 1.0) * (worth - self.worth)
-        value = worth / max(self.fleet.mean[cls.name], 1e-6)
-        keys = ("host", "class " + cls.name, "plan " + plan.name)
+        value = worth / max(self.balancer.mean_latency[cls.name], 1e-6)
+        keys = ("server", "class " + cls.name, "plan " + plan.name)
         pending = PendingRequest(req, cls, plan, acct, now, now + req.left, worth, value, keys)
         self.requests[req.id] = pending
-        pending.charge = charge(self.work(pending), self.rng.random())
+        pending.charge = slow_start_charge(self.work(pending), self.rng.random())
         if req.left < 2 * TICK:  # no check would come round in time
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
         elif self.shed(now, pending):
             self.refuse(now, pending, RefusalReason.LOAD_SHED)
         elif acct.ceiling_room(now) < req.units:
             wait = (req.units - acct.cap) * acct.spread / plan.ceiling_rate
-            self.refuse(now, pending, RefusalReason.CEILING, wait)
+            self.refuse(now, pending, RefusalReason.CEILING_REACHED, wait)
         elif plan.rate:
             self.want_units(now, pending)
         else:
@@ -120,7 +129,9 @@
         self.units += (GAIN if self.units else 1.0) * (units - self.units)
         if self.set.most_units > 1:
             return units / max(self.units, LEAST_UNITS)
-        return self.fleet.mean[pending.cls.name] / max(self.fleet.service, SERVICE_LEAST)
+        return self.balancer.mean_latency[pending.cls.name] / max(
+            self.balancer.mean_service_time, MIN_SERVICE_TIME
+        )
 
     def free_accounts(self, now: float) -> None:
         """Many customers come only once. Past its windows an account tells no more than a new one would."""
@@ -135,16 +146,26 @@
         """While answers come from servers that hold too much, what is worth least a unit of work is refused,
         whatever the cause: one gateway of many has too few out for a limit of its own to relieve them."""
         ranks = self.ranks = [*self.ranks[-63:], pending.value]
-        step, fleet, self.pass_at = now - self.pass_at, self.fleet, now
-        if fleet.pressure * math.exp(min(0.0, (fleet.answer_at + 1 - now) / PRESS_SPAN)) > PRESSED:
+        step, balancer, self.pass_at = now - self.pass_at, self.balancer, now
+        if (
+            balancer.congested_share
+            * math.exp(min(0.0, (balancer.last_answer_at + 1 - now) / CONGESTION_TIME_CONSTANT))
+            > SHEDDING_THRESHOLD
+        ):
             self.pass_share = max(SHED_LEAST, self.pass_share * math.exp(-SHED_FAST * min(step, 1.0)))
         else:
             self.pass_share = min(1.0, self.pass_share + SHED_BACK * step)
-        luck, most = self.rng.random(), (1 - self.pass_share) * len(ranks) * (self.set.gateways > LIMIT_MOST)
+        luck, most = (
+            self.rng.random(),
+            (1 - self.pass_share) * len(ranks) * (self.set.gateways > MAX_ATTEMPTS_PER_SERVER),
+        )
         return most > 0 and luck * ranks.count(pending.value) + sum(v < pending.value for v in ranks) < most
 
     def beyond(self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0) -> None:
-        clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST and not self.queue
+        clear = (
+            self.balancer.mean_server_load() < SPARE_CAPACITY_SHARE * MAX_ATTEMPTS_PER_SERVER
+            and not self.queue
+        )
         if pending.plan.over_worth > pending.plan.over_cost and clear:
             pending.beyond = True
             self.enqueue(now, pending)
@@ -154,14 +175,14 @@
     def enqueue(self, now: float, pending: PendingRequest) -> None:
         acct, units = pending.acct, pending.req.units
         if acct.ceiling_room(now) < units:
-            self.refuse(now, pending, RefusalReason.CEILING)
+            self.refuse(now, pending, RefusalReason.CEILING_REACHED)
             return
         acct.cap -= units  # spent before sending
         self.line_up(pending)
-        most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * pending.cls.aim)
+        most = max(QUEUE_LEAST, self.balancer.send_rate(now) * QUEUE_HOLD * pending.cls.aim)
         self.queue = [j for j in self.queue if not j.done] if len(self.queue) > most else self.queue
         # What waits for this machine waits for a moment only: that is no overload.
-        if len(self.queue) > most and now >= self.fleet.hindered_until:
+        if len(self.queue) > most and now >= self.balancer.local_backoff_until:
             self.refuse(now, self.queue.pop(0), RefusalReason.QUEUE_FULL)
         self.drain_queue(now)
         if pending.stage == "queue" and not pending.done:
@@ -174,7 +195,7 @@
     def hold(self, pending: PendingRequest) -> float:
         """How long after its arrival a request may wait for a server: while it can still be sent with use,
         and its refusal comes in the first half of its time. Of those not sent yet, there are many."""
-        useful = max(0.0, pending.cls.aim - self.fleet.mean[pending.cls.name])
+        useful = max(0.0, pending.cls.aim - self.balancer.mean_latency[pending.cls.name])
         share = 1.0 if pending.sends else QUEUE_HOLD
         return min(useful, (pending.deadline - pending.arrived) / 2, pending.cls.aim * share)
 
@@ -195,49 +216,54 @@
             self.count_open(pending.acct, pending.slot, -1)
         pending.acct.open_here -= pending.slot < 0
 
-    def fits(self, pending: PendingRequest, s: Server, now: float) -> bool:
+    def fits(self, pending: PendingRequest, s: ServerState, now: float) -> bool:
         unproven = pending.ran + list(pending.live.values())
-        if s.host.id in pending.avoid or not unproven or pending.cls.effect == "safe":
-            return s.host.id not in pending.avoid
+        if s.info.id in pending.avoid or not unproven or pending.cls.effect == "safe":
+            return s.info.id not in pending.avoid
         if pending.cls.effect == "unsafe" or now >= self.repeat_until(pending):
             return False
-        known, scope = [self.fleet.host(h) for h, _ in unproven], pending.cls.scope
+        known, scope = [self.balancer.server_info(h) for h, _ in unproven], pending.cls.scope
         if None in known:
             return False
         if scope == "all":
             return True
         place = (lambda h: h.zone) if scope == "zone" else (lambda h: h.cell)
-        return all(place(h) == place(s.host) for h in known)
+        return all(place(h) == place(s.info) for h in known)
 
     def repeat_until(self, pending: PendingRequest) -> float:
         """Until when a further attempt may be written; no bound where none before may have run."""
         unproven = pending.ran + list(pending.live.values())
         if pending.cls.effect == "safe" or not unproven:
             return math.inf
-        return repeat_until(min(sent for _, sent in unproven), pending.cls.memory)
+        return retry_deadline(min(sent for _, sent in unproven), pending.cls.memory)
 
     def admits_late(self, now: float, id: str, number: int, server: str) -> bool:
         """Whether an attempt at a cold server, whose connection came up late, may still be written."""
-        pending, s = self.requests.get(id), self.fleet.servers.get(server)
+        pending, s = self.requests.get(id), self.balancer.servers.get(server)
         if pending is None or s is None:
             return False
-        return self.fleet.admits_late(s, (id, number), now, pending.charge)
+        return self.balancer.admits_delayed_write(s, (id, number), now, pending.charge)
 
-    def choose(self, now: float, pending: PendingRequest) -> Server | None:
+    def choose(self, now: float, pending: PendingRequest) -> ServerState | None:
         if not pending.avoid:
-            return self.fleet.pick(now, pending.keys, None, pending.charge)
+            return self.balancer.pick_server(now, pending.keys, None, pending.charge)
         mates = self.cell_mates(pending)
         if mates is not None:
             fit = [s for s in mates if self.fits(pending, s, now)]
-            return self.fleet.best(now, pending.keys, fit, pending.charge)
-        return self.fleet.pick(now, pending.keys, lambda s: self.fits(pending, s, now), pending.charge)
+            return self.balancer.best_server(now, pending.keys, fit, pending.charge)
+        return self.balancer.pick_server(
+            now, pending.keys, lambda s: self.fits(pending, s, now), pending.charge
+        )
 
-    def cell_mates(self, pending: PendingRequest) -> list[Server] | None:
+    def cell_mates(self, pending: PendingRequest) -> list[ServerState] | None:
         """The servers of the cell that another attempt is bound to, where not all are in view; else None."""
         tried = [name for name, _ in [*pending.ran, *pending.live.values()]]
-        bound = (pending.cls.effect, pending.cls.scope) == ("keyed", "cell") and self.fleet.members.limited
-        host = self.fleet.host(tried[0]) if bound and tried else None
-        return self.fleet.cell_mates(host.cell) if host is not None else None
+        bound = (pending.cls.effect, pending.cls.scope) == (
+            "keyed",
+            "cell",
+        ) and self.balancer.membership.has_partial_view
+        host = self.balancer.server_info(tried[0]) if bound and tried else None
+        return self.balancer.servers_in_cell(host.cell) if host is not None else None
 
     def send(self, now: float, pending: PendingRequest) -> bool:
         if pending.begun >= self.set.limits.max_attempts or pending.streaming:
@@ -245,21 +271,21 @@
         s = self.choose(now, pending) if self.set.limits.second_copies or not pending.live else None
         if s is None:
             return False
-        cold = s.admission is not None and s.warmth(now, self.set.rules) < 1.0
-        self.out.append(api.Send(pending.req.id, s.host.id, 0, self.repeat_until(pending), cold))
-        pending.live[pending.sends] = (s.host.id, now)
-        self.fleet.sent(s, (pending.req.id, pending.sends), now, pending.charge)
+        cold = s.slow_start is not None and s.slow_start_weight(now, self.set.rules) < 1.0
+        self.out.append(api.Send(pending.req.id, s.info.id, 0, self.repeat_until(pending), cold))
+        pending.live[pending.sends] = (s.info.id, now)
+        self.balancer.record_send(s, (pending.req.id, pending.sends), now, pending.charge)
         pending.sends += 1
-        pending.avoid.add(s.host.id)
+        pending.avoid.add(s.info.id)
         pending.stage = "sent"
-        self.check_at(now + self.fleet.patience(pending.cls.name), pending)
+        self.check_at(now + self.balancer.hedge_delay(pending.cls.name), pending)
         return True
 
     def drain_queue(self, now: float) -> None:
         # Classes that no server has room for, by whether a cold one's place holds their work; what was tried
         # before has fewer left.
         stuck: set[tuple[str, bool]] = set()
-        for pending in self.queue[::-1] if self.queue and self.fleet.room(now) else ():
+        for pending in self.queue[::-1] if self.queue and self.balancer.has_capacity(now) else ():
             first = not pending.sends
             if not pending.done:
                 kind = (pending.cls.name, pending.charge > 1.0)
@@ -267,19 +293,19 @@
                     stuck.update([kind] * first)
                     continue
                 if first:
-                    clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST
+                    clear = self.balancer.mean_server_load() < SPARE_CAPACITY_SHARE * MAX_ATTEMPTS_PER_SERVER
                     share = RETRY_SPARE if clear else RETRY_SHARE
                     self.budget = min(max(2.0, RETRY_MOST / self.set.gateways), self.budget + share)
             self.queue.remove(pending)
         if self.queue and self.trial_at <= now:  # no other event may come when a host's rest is over
-            trials = [at for s in self.fleet.up for _, at in s.rests.values() if at > now]
-            trials += [self.fleet.hindered_until] * (self.fleet.hindered_until > now)
+            trials = [at for s in self.balancer.up_servers for _, at in s.cooldowns.values() if at > now]
+            trials += [self.balancer.local_backoff_until] * (self.balancer.local_backoff_until > now)
             self.trial_at = min(trials, default=0.0)
 
     def outcome(self, now: float, event: api.Outcome) -> None:
         pending = self.requests.get(event.id)
-        cls, keys = (pending.cls, pending.keys) if pending else (None, ("host",))
-        self.fleet.answered(now, event, cls, keys)
+        cls, keys = (pending.cls, pending.keys) if pending else (None, ("server",))
+        self.balancer.record_outcome(now, event, cls, keys)
         if pending is None:
             return
         sent = pending.live.pop(event.attempt, None)
@@ -294,16 +320,19 @@
             pending.unsent += 1
             pending.avoid.discard(event.host)
         if event.result == "unsent":
-            self.fleet.hindered(now)
+            self.balancer.record_local_error(now)
         if pending.live:
             return
         free = event.result == "connect_failed" or event.result in api.NEVER_BEGAN
         cost = 0.0 if free else RETRY_FULL if event.result == "full" else 1.0
-        late = now + max(TICK, self.fleet.mean[pending.cls.name]) > pending.deadline or event.result == "moot"
+        late = (
+            now + max(TICK, self.balancer.mean_latency[pending.cls.name]) > pending.deadline
+            or event.result == "moot"
+        )
         if late:
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
         elif self.budget < cost:
-            self.refuse(now, pending, RefusalReason.RETRIES_SPENT)
+            self.refuse(now, pending, RefusalReason.RETRY_BUDGET_SPENT)
         elif self.send(now, pending):
             self.budget -= cost
         elif (free or event.result in ("full", "reset")) and self.may_wait(now, pending):
@@ -319,7 +348,7 @@
         more = not pending.streaming and pending.begun < self.set.limits.max_attempts
         more = more and now < pending.arrived + self.hold(pending)
         mates = self.cell_mates(pending) if more else None
-        servers = self.fleet.up if mates is None else mates
+        servers = self.balancer.up_servers if mates is None else mates
         return more and any(self.fits(pending, s, now) for s in servers)
 
     def check_at(self, at: float, pending: PendingRequest) -> None:
@@ -340,21 +369,22 @@
         ending = now >= pending.deadline - 2 * TICK - 1e-6
         most = {"units": 2 * self.counter.timeout, "queue": self.hold(pending)}.get(pending.stage, math.inf)
         if pending.stage != "sent" and (ending or now - pending.arrived >= most - 1e-6):
-            self.refuse(now, pending, RefusalReason.WAITED)
+            self.refuse(now, pending, RefusalReason.QUEUE_TIMEOUT)
         elif pending.stage == "sent" and not ending and not pending.streaming:
             self.late(now, pending)
 
     def late(self, now: float, pending: PendingRequest) -> None:
         """An attempt long without answer: evidence against its host, and reason for another one, whatever the
         cause. Harm: work done twice where an answer was only slow, so it draws on the budget for retries."""
-        patience = self.fleet.patience(pending.cls.name) - TICK
+        patience = self.balancer.hedge_delay(pending.cls.name) - TICK
         late = [n for n, (_, sent) in pending.live.items() if now - sent >= patience]
         for number in set(late) - pending.late:
-            out = self.fleet.servers[pending.live[number][0]].out  # a silent one holds no other's place
-            self.fleet.out -= out.pop((pending.req.id, number), None) is not None
-            self.fleet.detector.note(pending.live[number][0], pending.keys, True, now)
+            # A silent one holds no other's place.
+            out = self.balancer.servers[pending.live[number][0]].in_flight
+            self.balancer.attempts_in_flight -= out.pop((pending.req.id, number), None) is not None
+            self.balancer.detector.record(pending.live[number][0], pending.keys, True, now)
         pending.late.update(late)
-        self.check_at(now + max(2 * TICK, self.fleet.dev[pending.cls.name]), pending)
+        self.check_at(now + max(2 * TICK, self.balancer.latency_deviation[pending.cls.name]), pending)
         if not late or len(pending.live) > 1 or pending.cls.effect == "unsafe" or self.budget < 1.0:
             return
         if self.set.limits.second_copies:
--- a/calicomast/rules.py
+++ b/calicomast/rules.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-HOLD_UP = 0.15  # s for which a process may be held up between reading its clock and writing
+MAX_PROCESS_PAUSE = 0.15  # s for which a process may be held up between reading its clock and writing
 MILLISECONDS = 1000  # in a second
 
 
@@ -22,16 +22,16 @@
     REQUEST_FINISHED = "request finished"
     CLIENT_GONE = "client gone"
     DEADLINE_PASSED = "deadline passed"
-    REPEAT_WINDOW_CLOSED = "repeat window closed"
+    RETRY_WINDOW_CLOSED = "repeat window closed"
     ATTEMPT_LIMIT = "attempt limit"
-    SECOND_ATTEMPT_OUT = "second attempt out"
-    SERVER_GONE = "server draining or removed"
-    START_BUDGET_SPENT = "start budget spent"
+    HEDGING_NOT_ALLOWED = "second attempt out"
+    SERVER_UNAVAILABLE = "server draining or removed"
+    SLOW_START_BUDGET_SPENT = "start budget spent"
     SHUTTING_DOWN = "shutting down"
-    TOO_MUCH_IN_WORK = "too much in work"
-    ANSWER_OWED = "answer owed"
-    BYTES_UNREAD = "bytes unread"
-    EMPTY_LIST = "whole list without servers"
+    CAPACITY_EXCEEDED = "too much in work"
+    RESPONSE_PENDING = "answer owed"
+    UNREAD_INPUT = "bytes unread"
+    EMPTY_SERVER_LIST = "whole list without servers"
     SOURCE_REPLACED = "discovery was replaced"
 
 
@@ -40,13 +40,13 @@
 
     DEADLINE_NEAR = "too little time left"
     LOAD_SHED = "load shed"
-    CEILING = "ceiling reached"
-    QUOTA = "beyond quota"
-    QUOTA_UNKNOWN = "counter not heard"
-    OPEN_LIMIT = "too many open"
+    CEILING_REACHED = "ceiling reached"
+    OVER_QUOTA = "beyond quota"
+    COUNTER_UNAVAILABLE = "counter not heard"
+    OPEN_LIMIT_REACHED = "too many open"
     QUEUE_FULL = "queue full"
-    WAITED = "waited too long"
-    RETRIES_SPENT = "retries spent"
+    QUEUE_TIMEOUT = "waited too long"
+    RETRY_BUDGET_SPENT = "retries spent"
     NO_SERVER = "no server for a further attempt"
 
 
@@ -55,22 +55,22 @@
     """What holds as an attempt is to be written; times are spans in seconds from that moment on.
 
     Attributes:
-        left: until its client gives up.
-        repeat_left: until the window for repeats closes; infinite where none is open.
-        begun: attempts of the request that were written before.
-        others_out: other attempts of the request that are out or wait for a connection.
+        remaining_time: until its client gives up.
+        retry_window_left: until the window for repeats closes; infinite where none is open.
+        attempts_written: attempts of the request that were written before.
+        other_attempts: other attempts of the request that are out or wait for a connection.
     """
 
     finished: bool
     client_gone: bool
-    left: float
-    repeat_left: float
-    begun: int
-    most_attempts: int
-    others_out: int
-    second_copies: bool
+    remaining_time: float
+    retry_window_left: float
+    attempts_written: int
+    max_attempts: int
+    other_attempts: int
+    hedging_allowed: bool
     server_listed: bool
-    start_budget: bool
+    within_slow_start_budget: bool
 
 
 def may_write_attempt(facts: AttemptFacts) -> Verdict:
@@ -79,56 +79,68 @@
         return Verdict.REQUEST_FINISHED
     if facts.client_gone:
         return Verdict.CLIENT_GONE
-    if facts.left <= 0:
+    if facts.remaining_time <= 0:
         return Verdict.DEADLINE_PASSED
-    if facts.begun >= facts.most_attempts:
+    if facts.attempts_written >= facts.max_attempts:
         return Verdict.ATTEMPT_LIMIT
-    if facts.others_out and not facts.second_copies:
-        return Verdict.SECOND_ATTEMPT_OUT
-    if facts.repeat_left <= 0:
-        return Verdict.REPEAT_WINDOW_CLOSED
+    if facts.other_attempts and not facts.hedging_allowed:
+        return Verdict.HEDGING_NOT_ALLOWED
+    if facts.retry_window_left <= 0:
+        return Verdict.RETRY_WINDOW_CLOSED
     if not facts.server_listed:
-        return Verdict.SERVER_GONE
-    if not facts.start_budget:
-        return Verdict.START_BUDGET_SPENT
+        return Verdict.SERVER_UNAVAILABLE
+    if not facts.within_slow_start_budget:
+        return Verdict.SLOW_START_BUDGET_SPENT
     return Verdict.ALLOWED
 
 
-def may_take_request(*, ending: bool, in_work: int, most_in_work: int, held: int, most_held: int) -> Verdict:
-    """Whether a request may be taken on. `in_work`: requests; `held`: bytes of bodies."""
-    if ending:
+def may_accept_request(
+    *,
+    shutting_down: bool,
+    active_requests: int,
+    max_active_requests: int,
+    body_bytes: int,
+    max_body_bytes: int,
+) -> Verdict:
+    """Whether a request may be taken on. `active_requests`: requests; `body_bytes`: bytes of bodies."""
+    if shutting_down:
         return Verdict.SHUTTING_DOWN
-    if in_work >= most_in_work or held > most_held:
-        return Verdict.TOO_MUCH_IN_WORK
+    if active_requests >= max_active_requests or body_bytes > max_body_bytes:
+        return Verdict.CAPACITY_EXCEEDED
     return Verdict.ALLOWED
 
 
-def may_close_connection(*, owed: bool, half_command: bool, unread: bool, broken: bool) -> Verdict:
-    """Whether a client's connection may be closed. `owed`: an answer is; `half_command`: one was read;
-    `unread`: bytes that may be a request lie in the socket; `broken`: what comes cannot be read any more."""
-    if owed:
-        return Verdict.ANSWER_OWED
-    if not broken and (half_command or unread):
-        return Verdict.BYTES_UNREAD
+def may_close_connection(
+    *, response_pending: bool, partial_command: bool, unread_input: bool, framing_lost: bool
+) -> Verdict:
+    """Whether a client's connection may be closed. `response_pending`: an answer is owed; `partial_command`:
+    half a command was read; `unread_input`: bytes that may be a request lie in the socket; `framing_lost`:
+    what comes cannot be read any more."""
+    if response_pending:
+        return Verdict.RESPONSE_PENDING
+    if not framing_lost and (partial_command or unread_input):
+        return Verdict.UNREAD_INPUT
     return Verdict.ALLOWED
 
 
-def may_apply_list(*, source_current: bool, whole: bool, empty: bool, some_held: bool) -> Verdict:
+def may_apply_server_list(
+    *, source_current: bool, is_complete: bool, is_empty: bool, has_servers: bool
+) -> Verdict:
     """Whether a list of servers may be put in force. A whole one without any server, while some are held, is
     a fault of who told it, and would leave nothing to send to."""
     if not source_current:
         return Verdict.SOURCE_REPLACED
-    if whole and empty and some_held:
-        return Verdict.EMPTY_LIST
+    if is_complete and is_empty and has_servers:
+        return Verdict.EMPTY_SERVER_LIST
     return Verdict.ALLOWED
 
 
-def repeat_until(first_sent: float, memory: float) -> float:
+def retry_deadline(first_sent: float, memory: float) -> float:
     """Until when a repeat may be written: `memory` seconds from the first attempt that may have run, less the
     time for which the process may be held up."""
-    return first_sent + memory - HOLD_UP
+    return first_sent + memory - MAX_PROCESS_PAUSE
 
 
-def time_told(left: float) -> int:
+def remaining_time_ms(left: float) -> int:
     """The milliseconds that a server is told that its answer is waited for, `left` seconds being left."""
     return max(1, math.floor(left * MILLISECONDS))
--- a/calicomast/admission.py
+++ b/calicomast/slow_start.py
@@ -18,7 +18,7 @@
 MILLISECONDS = 1000.0  # in a second; starts are told in whole ones
 
 
-def place(server: str, started: float, index: int, gateways: int) -> int:
+def gateway_position(server: str, started: float, index: int, gateways: int) -> int:
     """The place, from 0, of gateway `index` among all for one start of one server (clock time in seconds):
     an affine permutation of the indexes, another one for each start."""
     seed = stable_hash("cold", server, round(started * MILLISECONDS))
@@ -28,7 +28,7 @@
     return (step * index + shift) % gateways
 
 
-def charge(work: float, luck: float) -> float:
+def slow_start_charge(work: float, luck: float) -> float:
     """What a request counts as against the budget: its work in requests of mean work.
 
     Most places hold one request, so one of more work would never fit. With the chance 1 / work ** 2 (`luck`
@@ -37,13 +37,13 @@
     return 1.0 if work > 1.0 and luck * work * work < 1.0 else work
 
 
-class ColdAdmission:
+class SlowStartAdmission:
     """One gateway's admission to one start of one server."""
 
     __slots__ = ("place", "gateways", "rules", "sent")
 
     def __init__(self, host: api.Host, index: int, gateways: int, rules: api.Rules) -> None:
-        self.place = place(host.id, host.started, index, gateways)
+        self.place = gateway_position(host.id, host.started, index, gateways)
         self.gateways, self.rules = gateways, rules
         # Times and charges of what was sent within the time of the rule, by request and attempt.
         self.sent: dict[tuple[str, int], tuple[float, float]] = {}
@@ -52,7 +52,7 @@
         """Requests of mean work that all gateways together may send in the time of the rule."""
         return max(1.0, COLD_PART * self.rules.fall_multiple * warmth * capacity * self.rules.fall_time)
 
-    def left(self, now: float, warmth: float, capacity: float) -> float:
+    def remaining(self, now: float, warmth: float, capacity: float) -> float:
         """The charge that may still be sent from here now. `warmth`: the part of its capacity that the server
         had when the time of the rule began; `capacity`: requests of mean work a second that it serves when
         warm."""
@@ -63,14 +63,16 @@
             self.sent = {key: noted for key, noted in self.sent.items() if noted[0] > since}
         return share - sum(charge for _, charge in self.sent.values())
 
-    def note(self, now: float, charge: float, key: tuple[str, int]) -> None:
+    def record_send(self, now: float, charge: float, key: tuple[str, int]) -> None:
         """An attempt of this charge is sent."""
         self.sent[key] = now, charge
 
-    def move(self, now: float, charge: float, key: tuple[str, int], warmth: float, capacity: float) -> bool:
+    def readmit(
+        self, now: float, charge: float, key: tuple[str, int], warmth: float, capacity: float
+    ) -> bool:
         """An attempt that was sent before would be written only now; whether it still has its place."""
         self.sent.pop(key, None)
-        if self.left(now, warmth, capacity) < charge:
+        if self.remaining(now, warmth, capacity) < charge:
             return False
-        self.note(now, charge, key)
+        self.record_send(now, charge, key)
         return True
--- a/emulator/scenarios/membership.py
+++ b/emulator/scenarios/membership.py
@@ -38,7 +38,7 @@
         """Takes a list over, and looks for a server once, which is when the lists of them are made."""
         for _ in self.table.take(listing):
             pass
-        self.gateway.fleet.refresh()
+        self.gateway.balancer.refresh()
 
 
 def measure(deployment: Deployment, seed: int) -> Row:
@@ -58,7 +58,7 @@
     def change_all() -> None:
         for change in changes:
             taker.gateway.handle(1000.0, change)
-            taker.gateway.fleet.refresh()
+            taker.gateway.balancer.refresh()
 
     _, changing = cpu_seconds(change_all)
     lines = executed_lines(change_all)
--- a/emulator/scenarios/subsets.py
+++ b/emulator/scenarios/subsets.py
@@ -15,7 +15,7 @@
 
 def subset(gateway: Gateway) -> set[str]:
     """The ids of the servers that a gateway keeps to."""
-    return {server.host.id for server in gateway.fleet.subset}
+    return {server.info.id for server in gateway.balancer.subset}
 
 
 def measure(deployment: Deployment, seed: int) -> Row:
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from calicomast import admission, quota, servers
+from calicomast import quota, servers, slow_start
 from calicomast.net import clients, discovery, gateway, hosts, invariants, program, requests, server_table
 from calicomast.net.__main__ import Hangups
 
@@ -134,9 +134,9 @@
 
 def cold_servers_stand() -> None:
     """The server that started last gets all requests at once."""
-    admission.ColdAdmission.left = lambda *told: 1e9  # type: ignore[method-assign]
-    servers.Fleet.best = (  # type: ignore[method-assign]
-        lambda self, now, keys, pool, charge: max(pool, key=lambda s: s.host.started, default=None)
+    slow_start.SlowStartAdmission.remaining = lambda *told: 1e9  # type: ignore[method-assign]
+    servers.LoadBalancer.best_server = (  # type: ignore[method-assign]
+        lambda self, now, keys, pool, charge: max(pool, key=lambda s: s.info.started, default=None)
     )
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -59,8 +59,8 @@
         hosts = (host(f"h{n}"), host(f"h{n - 1}", state="leaving" if n % 2 else "down"))
         w.do(api.HostList("full" if n % 3 else "delta", n, hosts))
         w.now += 2.0
-    assert len(w.gw.fleet.servers) < 40 and len(w.gw.fleet.up) == 1
-    assert len(w.gw.fleet.detector.hosts) < 40
+    assert len(w.gw.balancer.servers) < 40 and len(w.gw.balancer.up_servers) == 1
+    assert len(w.gw.balancer.detector.estimates) < 40
 
 
 def test_a_host_that_is_gone_is_known_while_something_is_out_there():
@@ -70,10 +70,10 @@
     w.do(api.HostList("full", 2, (host(other),)))
     w.now += 100.0
     w.do(api.HostList("full", 3, (host(other),)))
-    assert send.host in w.gw.fleet.servers
+    assert send.host in w.gw.balancer.servers
     w.end(send)
     w.do(api.HostList("full", 4, (host(other),)))
-    assert send.host not in w.gw.fleet.servers
+    assert send.host not in w.gw.balancer.servers
 
 
 def used(index, hosts, gateways=40, tries=200):
@@ -92,24 +92,24 @@
     assert all(8 <= len(s) <= 15 for s in sets)
     keepers = [sum(h.id in s for s in sets) for h in hosts]
     assert min(keepers) >= 2 and max(keepers) <= 20
-    assert len(World(settings(gateways=2), hosts).gw.fleet.subset) == 60
+    assert len(World(settings(gateways=2), hosts).gw.balancer.subset) == 60
 
 
 def test_where_none_of_its_own_servers_is_able_another_one_is_used():
     w = World(settings(plans=[BIG], gateways=40), [host(f"h{n}") for n in range(60)])
-    near = {s.host.id for s in w.gw.fleet.subset}
+    near = {s.info.id for s in w.gw.balancer.subset}
     asked = [w.ask(cls="note") for _ in range(12)]  # nothing is answered: its part of the attempts is out
     assert {s.host for _, acts in asked for s in of(acts, api.Send)} <= near
-    for s in w.gw.fleet.subset:
-        s.rests["host"] = 1, w.now + 10.0
-    w.gw.fleet.out = 0
+    for s in w.gw.balancer.subset:
+        s.cooldowns["server"] = 1, w.now + 10.0
+    w.gw.balancer.attempts_in_flight = 0
     (send,) = of(w.ask(cls="note")[1], api.Send)
     assert send.host not in near
 
 
 def test_servers_that_go_are_made_up_for_and_the_others_stay():
     w = World(settings(plans=[BIG], gateways=40), [host(f"h{n}") for n in range(60)])
-    before = [s.host.id for s in w.gw.fleet.subset]
+    before = [s.info.id for s in w.gw.balancer.subset]
     w.do(api.HostList("delta", 2, (host(before[3], state="leaving"),)))
-    after = [s.host.id for s in w.gw.fleet.subset]
+    after = [s.info.id for s in w.gw.balancer.subset]
     assert set(before) - set(after) == {before[3]} and len(after) == 15
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -68,14 +68,14 @@
         server = host(name, cell=generator.randrange(50), state=state)
         now[name] = server
         members.tell(server)
-        members.proceed()
-    while members.unfinished:
-        members.proceed()
+        members.continue_rebuild()
+    while members.is_rebuilding:
+        members.continue_rebuild()
     up = {name: server for name, server in now.items() if server.state == "up"}
     assert members.up == len(up)
     assert set(members.hosts) == {name for name, server in now.items() if server.state != "down"}
     ranked = sorted((members.rank(name), name) for name in up)
-    assert members.limited and members.view == ranked[: len(members.view)]
+    assert members.has_partial_view and members.view == ranked[: len(members.view)]
     assert len(members.view) >= VIEW_LEAST // 2 >= members.subset_size
     cells = {cell: set(members.in_cell(cell)) for cell in range(50)}
     assert cells == {c: {n for n in members.hosts if now[n].cell == c} for c in range(50)}
@@ -84,22 +84,22 @@
 def test_a_view_that_has_lost_most_is_made_anew_in_small_steps():
     servers = listed(20_000)
     w = world(servers)
-    gone = sorted(servers, key=lambda s: w.gw.fleet.members.rank(s.id))[:4000]
+    gone = sorted(servers, key=lambda s: w.gw.balancer.membership.rank(s.id))[:4000]
     for start in range(0, len(gone), 100):
         hosts = tuple(host(s.id, state="down") for s in gone[start : start + 100])
         w.do(api.HostList("delta", 2, hosts))
-    members = w.gw.fleet.members
-    assert members.unfinished and len(members.view) < VIEW_LEAST // 2
+    members = w.gw.balancer.membership
+    assert members.is_rebuilding and len(members.view) < VIEW_LEAST // 2
     name, acts = w.ask()
     assert of(acts, api.Send) or members.view == []
     assert of(w.log and [a for _, a in w.log], api.SetTimer)  # it goes on without any other event
     steps = 0
-    while members.unfinished:
+    while members.is_rebuilding:
         lines = executed_lines(lambda: w.do(api.Timer(0)))
         steps += 1
         assert lines < 20 * max(SCANNED, 2 * VIEW_LEAST)  # whatever the length of the list
     assert steps >= 5 and len(members.view) >= VIEW_LEAST
-    assert len(w.gw.fleet.subset) == members.subset_size
+    assert len(w.gw.balancer.subset) == members.subset_size
     assert w.ask()[1]
 
 
@@ -126,20 +126,20 @@
         for send in of(w.ask()[1], api.Send):
             sent.add(send.host)
             w.end(send)
-    assert len(w.gw.fleet.members.hosts) == 12_000 and w.gw.fleet.members.up == 12_000
-    assert len(w.gw.fleet.servers) <= 2 * VIEW_LEAST
-    assert sent <= {s.host.id for s in w.gw.fleet.subset}
-    assert len(w.gw.fleet.subset) == 37  # 10 x 12000 / 3300, rounded up
+    assert len(w.gw.balancer.membership.hosts) == 12_000 and w.gw.balancer.membership.up == 12_000
+    assert len(w.gw.balancer.servers) <= 2 * VIEW_LEAST
+    assert sent <= {s.info.id for s in w.gw.balancer.subset}
+    assert len(w.gw.balancer.subset) == 37  # 10 x 12000 / 3300, rounded up
 
 
 def test_what_a_change_does_not_name_stays():
     w = world(listed(12_000))
-    before = [s.host.id for s in w.gw.fleet.subset]
-    other = next(n for n in w.gw.fleet.members.hosts if n not in w.gw.fleet.servers)
+    before = [s.info.id for s in w.gw.balancer.subset]
+    other = next(n for n in w.gw.balancer.membership.hosts if n not in w.gw.balancer.servers)
     w.do(api.HostList("delta", 2, (host(other, state="leaving"),)))
-    assert [s.host.id for s in w.gw.fleet.subset] == before
+    assert [s.info.id for s in w.gw.balancer.subset] == before
     w.do(api.HostList("delta", 3, (host(before[0], state="leaving"),)))
-    after = [s.host.id for s in w.gw.fleet.subset]
+    after = [s.info.id for s in w.gw.balancer.subset]
     assert after[:-1] == before[1:] and after[-1] not in before
 
 
@@ -147,10 +147,10 @@
     w = world(listed(3000))
     (send,) = of(w.ask()[1], api.Send)
     w.do(api.HostList("delta", 2, tuple(listed(9000, 3000))))  # many come before it in the order
-    assert w.gw.fleet.members.limited and w.gw.fleet.subset
-    assert send.host in w.gw.fleet.servers and w.gw.fleet.out == 1
+    assert w.gw.balancer.membership.has_partial_view and w.gw.balancer.subset
+    assert send.host in w.gw.balancer.servers and w.gw.balancer.attempts_in_flight == 1
     w.end(send)
-    assert w.gw.fleet.out == 0
+    assert w.gw.balancer.attempts_in_flight == 0
 
 
 def test_a_repeat_that_is_bound_to_a_cell_finds_its_servers_outside_of_the_view():
@@ -160,8 +160,8 @@
         (first,) = of(w.ask(cls=CELL.name)[1], api.Send)
         seconds = of(w.end(first, "reset"), api.Send)
         for second in seconds:
-            cell = w.gw.fleet.members.hosts[first.host].cell
-            assert second.host != first.host and w.gw.fleet.members.hosts[second.host].cell == cell
+            cell = w.gw.balancer.membership.hosts[first.host].cell
+            assert second.host != first.host and w.gw.balancer.membership.hosts[second.host].cell == cell
             tried += 1
             w.end(second)
     assert tried > 0
@@ -173,12 +173,12 @@
     for index in range(6):
         w = world(servers, gateways=6 * 100, index=index)
         w.ask()
-        outside = [n for n in w.gw.fleet.members.hosts if n not in w.gw.fleet.members][:400]
+        outside = [n for n in w.gw.balancer.membership.hosts if n not in w.gw.balancer.membership][:400]
         w.do(api.HostList("delta", 2, tuple(host(n, started=w.now) for n in outside)))
-        placed = [n for n in outside if n in w.gw.fleet.servers]
+        placed = [n for n in outside if n in w.gw.balancer.servers]
         assert len(placed) < 40  # of 400: few gateways have a place at one
         used += len(placed)
-        assert all(w.gw.fleet.servers[n].admission is not None for n in placed)
+        assert all(w.gw.balancer.servers[n].slow_start is not None for n in placed)
         w.now += 30.0  # warm by now
         w.do(api.HostList("delta", 3, (host("h0", state="leaving"),)))
         w.ask()
@@ -194,9 +194,9 @@
         for _ in range(40):
             w.do(api.Timer(0))
         (send,) = of(w.ask()[1], api.Send)
-        assert send.host in {s.id for s in kept} and len(w.gw.fleet.subset) == max(8, -(-count // 40))
+        assert send.host in {s.id for s in kept} and len(w.gw.balancer.subset) == max(8, -(-count // 40))
         w.end(send)
-    assert {s.host.id for s in w.gw.fleet.up} == {s.id for s in kept}
+    assert {s.info.id for s in w.gw.balancer.up_servers} == {s.id for s in kept}
 
 
 def test_a_list_that_shrinks_below_the_view_is_all_in_view():
@@ -204,7 +204,7 @@
     w.do(api.HostList("full", 2, tuple(listed(50))))
     for _ in range(40):
         w.do(api.Timer(0))
-    assert {s.host.id for s in w.gw.fleet.up} == {f"h{n}" for n in range(50)}
+    assert {s.info.id for s in w.gw.balancer.up_servers} == {f"h{n}" for n in range(50)}
     (send,) = of(w.ask()[1], api.Send)
     assert send.host in {f"h{n}" for n in range(50)}
 
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -191,7 +191,7 @@
 async def test_at_the_limit_the_longest_idle_goes_and_with_all_busy_the_newcomer(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         node.node.clients.most = 2
-        node.node.module.fleet.limit = 100.0
+        node.node.module.balancer.server_attempt_limit = 100.0
         first, _ = await node.connect()
         busy = []
         for n in range(2):
--- a/tests/test_net_clock.py
+++ b/tests/test_net_clock.py
@@ -19,8 +19,8 @@
             monkeypatch.setattr(time, "time", lambda: real() + step)  # every machine reads the same clock
             started = {"started_ms": int(1000 * (time.time() - AGE))}
             node.discovery.changes.put_nowait([entry(cold, "h2") | started])
-            fleet = node.node.module.fleet
-            while "h2" not in fleet.servers:
+            balancer = node.node.module.balancer
+            while "h2" not in balancer.servers:
                 await asyncio.sleep(0.01)
-            warmth = fleet.servers["h2"].warmth(node.node.clock(), node.node.settings.rules)
+            warmth = balancer.servers["h2"].slow_start_weight(node.node.clock(), node.node.settings.rules)
             assert 0.2 < warmth < 0.5  # a fifth at its start, all of its capacity after 18 s
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -287,7 +287,7 @@
         while node.node.works:
             await asyncio.sleep(0)
         assert work.over and work.sends == 2 and not other.commands
-        assert not node.node.module.requests and not node.node.module.fleet.out
+        assert not node.node.module.requests and not node.node.module.balancer.attempts_in_flight
 
 
 @on_loop
@@ -303,7 +303,9 @@
         while pool.coming:
             await asyncio.sleep(0)
         assert work.over and not work.live and not host.commands
-        assert len(pool.idle) == 1 and not node.node.module.fleet.out  # the connection serves the next one
+        assert (
+            len(pool.idle) == 1 and not node.node.module.balancer.attempts_in_flight
+        )  # the connection serves the next one
         await asyncio.sleep(2 * hosts.REST)  # timers may come up to a millisecond early
         assert await node.ask(command(b"r2")) == SERVED
         assert len(host.writers) == 1
--- a/tests/test_net_hosts.py
+++ b/tests/test_net_hosts.py
@@ -35,7 +35,7 @@
         ):
             host.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
             assert await node.ask(command(b"r%d" % n)) == b"$1\r\nv\r\n"
-        assert not node.node.module.fleet.reports
+        assert not node.node.module.balancer.has_load_reports
 
 
 @pytest.mark.parametrize(
@@ -144,7 +144,7 @@
 async def test_the_cap_on_connections_holds(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         node.node.hosts.most = 2
-        node.node.module.fleet.limit = 100.0
+        node.node.module.balancer.server_attempt_limit = 100.0
         asked = [asyncio.create_task(node.ask(command(b"r%d" % n, terms=terms(d="500")))) for n in range(6)]
         await asyncio.gather(*asked)
         assert len(host.writers) <= 2 * 3 and node.node.hosts.open <= 2
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -236,11 +236,13 @@
     w = World(settings(gateways=1), [host("h1")])
     name, acts = w.ask()
     (send,), arrived = of(acts, api.Send), w.now
-    w.gw.fleet.mean["read"] = 0.6  # of the aim of 1.0: an attempt begun later is answered too late
+    w.gw.balancer.mean_latency["read"] = 0.6  # of the aim of 1.0: an attempt begun later is answered too late
     assert w.gw.hold(w.gw.requests[name]) <= 0.4
     w.now += 0.3
     w.do(api.HostList("delta", 2, (host("h2", started=w.now),)))
-    w.gw.fleet.servers["h2"].admission.note(w.now, 99.0, ("other", 0))  # cold: it may be sent nothing for 2 s
+    w.gw.balancer.servers["h2"].slow_start.record_send(
+        w.now, 99.0, ("other", 0)
+    )  # cold: it may be sent nothing for 2 s
     acts = w.end(send, "reset")
     assert not of(acts, api.Refuse | api.Fail)
     acts = w.wait(0.6)
@@ -271,6 +273,6 @@
         acts = w.end(sends[-1], result, attempt=number) + w.wait(0.12)
         sends += of(acts, api.Send)
         assert len(sends) == number + 2 and not of(acts, api.Refuse)
-    detector = w.gw.fleet.detector
-    assert not detector.hosts
+    detector = w.gw.balancer.detector
+    assert not detector.estimates
     assert of(w.end(sends[-1], "full", attempt=3), api.Refuse)  # that one counts
