--- a/calicomast/net/attempts.py
+++ b/calicomast/net/attempts.py
@@ -16,7 +16,7 @@
 from calicomast.net.invariants import MONITOR, Invariant
 from calicomast.net.requests import ActiveRequest
 from calicomast.net.server_connections import Attempt
-from calicomast.rules import HOLD_UP, AttemptFacts, Verdict, may_write_attempt
+from calicomast.rules import MAX_PROCESS_PAUSE, AttemptFacts, Verdict, may_write_attempt
 
 TIME_TOLD = re.compile(rb"[\n,]d=([0-9]+)")  # in a command on the wire
 MOST_TOLD = 200  # bytes of a command in a message
@@ -50,14 +50,14 @@
             AttemptFacts(
                 finished=work.finished,
                 client_gone=not work.finished and work.slot.connection.peer_has_closed(),
-                left=work.deadline - monotonic(),
-                repeat_left=attempt.retry_until - self._clock(),
-                begun=work.attempts_written,
-                most_attempts=self._limits.max_attempts,
-                others_out=len(work.active_attempts) - (number in work.active_attempts),
-                second_copies=self._limits.hedging,
+                remaining_time=work.deadline - monotonic(),
+                retry_window_left=attempt.retry_until - self._clock(),
+                attempts_written=work.attempts_written,
+                max_attempts=self._limits.max_attempts,
+                other_attempts=len(work.active_attempts) - (number in work.active_attempts),
+                hedging_allowed=self._limits.hedging,
                 server_listed=self._listed(attempt.server),
-                start_budget=not (connected_late and attempt.slow_start)
+                within_slow_start_budget=not (connected_late and attempt.slow_start)
                 or self._admits_late(self._clock(), work.id, number, attempt.server),
             )
         )
@@ -88,7 +88,7 @@
     def _broken(self, attempt: Attempt, work: ActiveRequest, payload: bytes, left: float) -> Invariant | None:
         """The invariant that does not hold, if one does not."""
         limits, told = self._limits, TIME_TOLD.search(payload)
-        if told is None or int(told[1]) / MILLISECONDS > max(left, 0.0) + HOLD_UP:
+        if told is None or int(told[1]) / MILLISECONDS > max(left, 0.0) + MAX_PROCESS_PAUSE:
             return Invariant.DEADLINE_TOLD
         if work.finished:
             return Invariant.ATTEMPT_AFTER_ANSWER
@@ -96,7 +96,7 @@
             return Invariant.ATTEMPT_LIMIT
         if len(work.active_attempts) > 1 and not limits.hedging:
             return Invariant.SECOND_ATTEMPT
-        if attempt.retry_until < math.inf and self._clock() > attempt.retry_until + HOLD_UP:
+        if attempt.retry_until < math.inf and self._clock() > attempt.retry_until + MAX_PROCESS_PAUSE:
             return Invariant.REPEAT_WINDOW
         if not self._listed(attempt.server):
             return Invariant.SERVER_GONE
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -35,7 +35,7 @@
 from calicomast.net.server_list import ServerList
 from calicomast.net.server_table import ServerTable
 from calicomast.policy import GatewayPolicy
-from calicomast.rules import Verdict, may_take_request
+from calicomast.rules import Verdict, may_accept_request
 
 RESPONSE_MARGIN = 0.03  # s before the client gives up by which the module is to be done
 # s after it for which an answer is still worth nothing but is one; later the request is lost
@@ -263,12 +263,12 @@
         request = parse_request(command, self.settings, RESPONSE_MARGIN + slot.connection.read_delay())
         if request.id in self.active_requests:
             raise BadRequest("this id is in work")
-        verdict = may_take_request(
-            ending=self.refusing,
-            in_work=len(self.active_requests),
-            most_in_work=self.config.max_active_requests,
-            held=self.held_body_bytes,
-            most_held=self.most_held,
+        verdict = may_accept_request(
+            shutting_down=self.refusing,
+            active_requests=len(self.active_requests),
+            max_active_requests=self.config.max_active_requests,
+            body_bytes=self.held_body_bytes,
+            max_body_bytes=self.most_held,
         )
         if verdict is not Verdict.ALLOWED:
             self.event_log.count(EventKind.REQUEST_REFUSED, verdict.value)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -65,8 +65,8 @@
         hosts = (make_server(f"h{n}"), make_server(f"h{n - 1}", state="leaving" if n % 2 else "down"))
         w.handle(api.ServerListUpdate("full" if n % 3 else "delta", n, hosts))
         w.now += 2.0
-    assert len(w.gateway.fleet.servers) < 40 and len(w.gateway.fleet.up) == 1
-    assert len(w.gateway.fleet.detector.hosts) < 40
+    assert len(w.gateway.balancer.servers) < 40 and len(w.gateway.balancer.up_servers) == 1
+    assert len(w.gateway.balancer.detector.estimates) < 40
 
 
 def test_a_host_that_is_gone_is_known_while_something_is_out_there():
@@ -76,10 +76,10 @@
     w.handle(api.ServerListUpdate("full", 2, (make_server(other),)))
     w.now += 100.0
     w.handle(api.ServerListUpdate("full", 3, (make_server(other),)))
-    assert send.server in w.gateway.fleet.servers
+    assert send.server in w.gateway.balancer.servers
     w.finish_attempt(send)
     w.handle(api.ServerListUpdate("full", 4, (make_server(other),)))
-    assert send.server not in w.gateway.fleet.servers
+    assert send.server not in w.gateway.balancer.servers
 
 
 def used(index, hosts, gateways=40, tries=200):
@@ -98,26 +98,26 @@
     assert all(8 <= len(s) <= 15 for s in sets)
     keepers = [sum(h.id in s for s in sets) for h in hosts]
     assert min(keepers) >= 2 and max(keepers) <= 20
-    assert len(GatewayHarness(make_settings(gateways=2), hosts).gateway.fleet.subset) == 60
+    assert len(GatewayHarness(make_settings(gateways=2), hosts).gateway.balancer.subset) == 60
 
 
 def test_where_none_of_its_own_servers_is_able_another_one_is_used():
     w = GatewayHarness(make_settings(plans=[BIG], gateways=40), [make_server(f"h{n}") for n in range(60)])
-    near = {s.host.id for s in w.gateway.fleet.subset}
+    near = {s.info.id for s in w.gateway.balancer.subset}
     asked = [
         w.send_request(service_class="note") for _ in range(12)
     ]  # nothing is answered: its part of the attempts is out
     assert {s.server for _, acts in asked for s in actions_of(acts, api.Send)} <= near
-    for s in w.gateway.fleet.subset:
-        s.rests["host"] = 1, w.now + 10.0
-    w.gateway.fleet.out = 0
+    for s in w.gateway.balancer.subset:
+        s.cooldowns["server"] = 1, w.now + 10.0
+    w.gateway.balancer.attempts_in_flight = 0
     (send,) = actions_of(w.send_request(service_class="note")[1], api.Send)
     assert send.server not in near
 
 
 def test_servers_that_go_are_made_up_for_and_the_others_stay():
     w = GatewayHarness(make_settings(plans=[BIG], gateways=40), [make_server(f"h{n}") for n in range(60)])
-    before = [s.host.id for s in w.gateway.fleet.subset]
+    before = [s.info.id for s in w.gateway.balancer.subset]
     w.handle(api.ServerListUpdate("delta", 2, (make_server(before[3], state="leaving"),)))
-    after = [s.host.id for s in w.gateway.fleet.subset]
+    after = [s.info.id for s in w.gateway.balancer.subset]
     assert set(before) - set(after) == {before[3]} and len(after) == 15
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -68,14 +68,14 @@
         server = make_server(name, cell=generator.randrange(50), state=state)
         now[name] = server
         members.tell(server)
-        members.proceed()
-    while members.unfinished:
-        members.proceed()
+        members.continue_rebuild()
+    while members.is_rebuilding:
+        members.continue_rebuild()
     up = {name: server for name, server in now.items() if server.state == "up"}
     assert members.up == len(up)
     assert set(members.hosts) == {name for name, server in now.items() if server.state != "down"}
     ranked = sorted((members.rank(name), name) for name in up)
-    assert members.limited and members.view == ranked[: len(members.view)]
+    assert members.has_partial_view and members.view == ranked[: len(members.view)]
     assert len(members.view) >= VIEW_LEAST // 2 >= members.subset_size
     cells = {cell: set(members.in_cell(cell)) for cell in range(50)}
     assert cells == {c: {n for n in members.hosts if now[n].cell == c} for c in range(50)}
@@ -84,24 +84,24 @@
 def test_a_view_that_has_lost_most_is_made_anew_in_small_steps():
     servers = listed(20_000)
     w = world(servers)
-    gone = sorted(servers, key=lambda s: w.gateway.fleet.members.rank(s.id))[:4000]
+    gone = sorted(servers, key=lambda s: w.gateway.balancer.membership.rank(s.id))[:4000]
     for start in range(0, len(gone), 100):
         hosts = tuple(make_server(s.id, state="down") for s in gone[start : start + 100])
         w.handle(api.ServerListUpdate("delta", 2, hosts))
-    members = w.gateway.fleet.members
-    assert members.unfinished and len(members.view) < VIEW_LEAST // 2
+    members = w.gateway.balancer.membership
+    assert members.is_rebuilding and len(members.view) < VIEW_LEAST // 2
     name, acts = w.send_request()
     assert actions_of(acts, api.Send) or members.view == []
     assert actions_of(
         w.action_log and [a for _, a in w.action_log], api.SetTimer
     )  # it goes on without any other event
     steps = 0
-    while members.unfinished:
+    while members.is_rebuilding:
         lines = executed_lines(lambda: w.handle(api.TimerExpired(0)))
         steps += 1
         assert lines < 20 * max(SCANNED, 2 * VIEW_LEAST)  # whatever the length of the list
     assert steps >= 5 and len(members.view) >= VIEW_LEAST
-    assert len(w.gateway.fleet.subset) == members.subset_size
+    assert len(w.gateway.balancer.subset) == members.subset_size
     assert w.send_request()[1]
 
 
@@ -128,20 +128,20 @@
         for send in actions_of(w.send_request()[1], api.Send):
             sent.add(send.server)
             w.finish_attempt(send)
-    assert len(w.gateway.fleet.members.hosts) == 12_000 and w.gateway.fleet.members.up == 12_000
-    assert len(w.gateway.fleet.servers) <= 2 * VIEW_LEAST
-    assert sent <= {s.host.id for s in w.gateway.fleet.subset}
-    assert len(w.gateway.fleet.subset) == 37  # 10 x 12000 / 3300, rounded up
+    assert len(w.gateway.balancer.membership.hosts) == 12_000 and w.gateway.balancer.membership.up == 12_000
+    assert len(w.gateway.balancer.servers) <= 2 * VIEW_LEAST
+    assert sent <= {s.info.id for s in w.gateway.balancer.subset}
+    assert len(w.gateway.balancer.subset) == 37  # 10 x 12000 / 3300, rounded up
 
 
 def test_what_a_change_does_not_name_stays():
     w = world(listed(12_000))
-    before = [s.host.id for s in w.gateway.fleet.subset]
-    other = next(n for n in w.gateway.fleet.members.hosts if n not in w.gateway.fleet.servers)
+    before = [s.info.id for s in w.gateway.balancer.subset]
+    other = next(n for n in w.gateway.balancer.membership.hosts if n not in w.gateway.balancer.servers)
     w.handle(api.ServerListUpdate("delta", 2, (make_server(other, state="leaving"),)))
-    assert [s.host.id for s in w.gateway.fleet.subset] == before
+    assert [s.info.id for s in w.gateway.balancer.subset] == before
     w.handle(api.ServerListUpdate("delta", 3, (make_server(before[0], state="leaving"),)))
-    after = [s.host.id for s in w.gateway.fleet.subset]
+    after = [s.info.id for s in w.gateway.balancer.subset]
     assert after[:-1] == before[1:] and after[-1] not in before
 
 
@@ -149,10 +149,10 @@
     w = world(listed(3000))
     (send,) = actions_of(w.send_request()[1], api.Send)
     w.handle(api.ServerListUpdate("delta", 2, tuple(listed(9000, 3000))))  # many come before it in the order
-    assert w.gateway.fleet.members.limited and w.gateway.fleet.subset
-    assert send.server in w.gateway.fleet.servers and w.gateway.fleet.out == 1
+    assert w.gateway.balancer.membership.has_partial_view and w.gateway.balancer.subset
+    assert send.server in w.gateway.balancer.servers and w.gateway.balancer.attempts_in_flight == 1
     w.finish_attempt(send)
-    assert w.gateway.fleet.out == 0
+    assert w.gateway.balancer.attempts_in_flight == 0
 
 
 def test_a_repeat_that_is_bound_to_a_cell_finds_its_servers_outside_of_the_view():
@@ -162,8 +162,11 @@
         (first,) = actions_of(w.send_request(service_class=CELL_WRITE.name)[1], api.Send)
         seconds = actions_of(w.finish_attempt(first, "reset"), api.Send)
         for second in seconds:
-            cell = w.gateway.fleet.members.hosts[first.server].cell
-            assert second.server != first.server and w.gateway.fleet.members.hosts[second.server].cell == cell
+            cell = w.gateway.balancer.membership.hosts[first.server].cell
+            assert (
+                second.server != first.server
+                and w.gateway.balancer.membership.hosts[second.server].cell == cell
+            )
             tried += 1
             w.finish_attempt(second)
     assert tried > 0
@@ -175,12 +178,14 @@
     for index in range(6):
         w = world(servers, gateways=6 * 100, index=index)
         w.send_request()
-        outside = [n for n in w.gateway.fleet.members.hosts if n not in w.gateway.fleet.members][:400]
+        outside = [n for n in w.gateway.balancer.membership.hosts if n not in w.gateway.balancer.membership][
+            :400
+        ]
         w.handle(api.ServerListUpdate("delta", 2, tuple(make_server(n, started_at=w.now) for n in outside)))
-        placed = [n for n in outside if n in w.gateway.fleet.servers]
+        placed = [n for n in outside if n in w.gateway.balancer.servers]
         assert len(placed) < 40  # of 400: few gateways have a place at one
         used += len(placed)
-        assert all(w.gateway.fleet.servers[n].admission is not None for n in placed)
+        assert all(w.gateway.balancer.servers[n].slow_start is not None for n in placed)
         w.now += 30.0  # warm by now
         w.handle(api.ServerListUpdate("delta", 3, (make_server("h0", state="leaving"),)))
         w.send_request()
@@ -196,9 +201,11 @@
         for _ in range(40):
             w.handle(api.TimerExpired(0))
         (send,) = actions_of(w.send_request()[1], api.Send)
-        assert send.server in {s.id for s in kept} and len(w.gateway.fleet.subset) == max(8, -(-count // 40))
+        assert send.server in {s.id for s in kept} and len(w.gateway.balancer.subset) == max(
+            8, -(-count // 40)
+        )
         w.finish_attempt(send)
-    assert {s.host.id for s in w.gateway.fleet.up} == {s.id for s in kept}
+    assert {s.info.id for s in w.gateway.balancer.up_servers} == {s.id for s in kept}
 
 
 def test_a_list_that_shrinks_below_the_view_is_all_in_view():
@@ -206,7 +213,7 @@
     w.handle(api.ServerListUpdate("full", 2, tuple(listed(50))))
     for _ in range(40):
         w.handle(api.TimerExpired(0))
-    assert {s.host.id for s in w.gateway.fleet.up} == {f"h{n}" for n in range(50)}
+    assert {s.info.id for s in w.gateway.balancer.up_servers} == {f"h{n}" for n in range(50)}
     (send,) = actions_of(w.send_request()[1], api.Send)
     assert send.server in {f"h{n}" for n in range(50)}
 
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -201,7 +201,7 @@
 async def test_at_the_limit_the_longest_idle_goes_and_with_all_busy_the_newcomer(tmp_path):
     async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
         node.service.clients.max_connections = 2
-        node.service.policy.fleet.limit = 100.0
+        node.service.policy.balancer.server_attempt_limit = 100.0
         first, _ = await node.connect()
         busy = []
         for n in range(2):
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -303,7 +303,7 @@
         while node.service.active_requests:
             await asyncio.sleep(0)
         assert work.finished and work.attempts_created == 2 and not other.commands
-        assert not node.service.policy.requests and not node.service.policy.fleet.out
+        assert not node.service.policy.requests and not node.service.policy.balancer.attempts_in_flight
 
 
 @on_loop
@@ -319,7 +319,9 @@
         while pool.connecting:
             await asyncio.sleep(0)
         assert work.finished and not work.active_attempts and not host.commands
-        assert len(pool.idle) == 1 and not node.service.policy.fleet.out  # the connection serves the next one
+        assert (
+            len(pool.idle) == 1 and not node.service.policy.balancer.attempts_in_flight
+        )  # the connection serves the next one
         await asyncio.sleep(2 * server_connections.REUSE_DELAY)  # timers may come up to a millisecond early
         assert await node.send_command(command(b"r2")) == CLIENT_REPLY
         assert len(host.writers) == 1
--- a/tests/test_net_server_connections.py
+++ b/tests/test_net_server_connections.py
@@ -44,7 +44,7 @@
         ):
             host.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
             assert await node.send_command(command(b"r%d" % n)) == b"$1\r\nv\r\n"
-        assert not node.service.policy.fleet.reports
+        assert not node.service.policy.balancer.has_load_reports
 
 
 @pytest.mark.parametrize(
@@ -158,7 +158,7 @@
 async def test_the_cap_on_connections_holds(tmp_path):
     async with StubServer(answer=None) as host, GatewayHarness(host, path=tmp_path) as node:
         node.service.server_connections.most = 2
-        node.service.policy.fleet.limit = 100.0
+        node.service.policy.balancer.server_attempt_limit = 100.0
         asked = [
             asyncio.create_task(node.send_command(command(b"r%d" % n, fields=command_fields(d="500"))))
             for n in range(6)
