--- a/emulator/soak/clients.py
+++ b/emulator/soak/clients.py
@@ -13,8 +13,8 @@
 
 import hiredis
 
+from emulator.soak.configuration import CLASSES, PLAN, SPREAD, ClassShape
 from emulator.soak.record import Asked, BadClient, Ending, Record
-from emulator.soak.shape import CLASSES, PLAN, SPREAD, ClassShape
 from emulator.soak.standins import value_of
 
 LATE_ANSWER = 0.5  # seconds after its time for which an answer is still one
--- a/emulator/soak/command.py
+++ b/emulator/soak/command.py
@@ -9,8 +9,8 @@
 from rich.console import Console
 
 from emulator.real.faults import ShimError
-from emulator.soak.play import RATE, SoakError, SoakOptions, play
 from emulator.soak.report import print_soak, write_soak
+from emulator.soak.runner import RATE, SoakError, SoakOptions, play
 
 SECONDS = 60  # in a minute
 MOST_GATEWAYS, MOST_MINUTES, MOST_RATE = 60, 120.0, 500.0
--- a/emulator/soak/world.py
+++ b/emulator/soak/environment.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 
 from emulator.soak.clients import Crowd, Front
-from emulator.soak.fleet import SoakGateway
+from emulator.soak.configuration import SLOTS, WORK
+from emulator.soak.gateways import SoakGateway
 from emulator.soak.record import Changed, Record
-from emulator.soak.shape import SLOTS, WORK
 from emulator.soak.standins import Agent, FontServer, SoakCounter, SoakList, started_now
 
 SERVERS_LEAST = 6
--- a/emulator/soak/troubles.py
+++ b/emulator/soak/faults.py
@@ -9,10 +9,10 @@
 import signal
 from collections.abc import Awaitable, Callable, Iterator
 
-from emulator.soak.fleet import SoakGateway
-from emulator.soak.link import Fault
+from emulator.soak.environment import World
+from emulator.soak.gateways import SoakGateway
+from emulator.soak.proxy import Fault
 from emulator.soak.standins import FontServer, Manner, started_now
-from emulator.soak.world import World
 
 HOLD_UP = 0.15  # seconds for which a process may be held up
 PART_OF_SERVERS, PART_OF_GATEWAYS = 0.25, 0.35
--- a/emulator/soak/fleet.py
+++ b/emulator/soak/gateways.py
@@ -17,8 +17,8 @@
 from emulator.real.faults import Faults
 from emulator.real.processes import READY_WITHIN, ProcessError, answers_ping, run_command, usage
 from emulator.results import ROOT
+from emulator.soak.configuration import LONGEST, SOCKETS, settings_tree
 from emulator.soak.record import Life, Record
-from emulator.soak.shape import LONGEST, SOCKETS, settings_tree
 from emulator.soak.standins import Agent, SoakCounter, SoakList
 
 READY_LOOK = 0.02  # seconds between looks whether a gateway is ready
--- a/emulator/soak/judges.py
+++ b/emulator/soak/invariants.py
@@ -10,8 +10,7 @@
 
 from emulator.real.processes import READY_WITHIN
 from emulator.soak.clients import BAD_WITHIN, LATE_ANSWER, served_rightly
-from emulator.soak.record import Asked, Effect, Ending, Life, Record
-from emulator.soak.shape import (
+from emulator.soak.configuration import (
     COLD_SHARE,
     COLD_TIME,
     FALL_MULTIPLE,
@@ -24,6 +23,7 @@
     TOLD_AT_LATEST,
     WORK,
 )
+from emulator.soak.record import Asked, Effect, Ending, Life, Record
 
 READING = 0.05  # seconds that the ways to and from this process may add to a reading
 LEFT_WITHIN = 0.1  # seconds after a client's close in which an attempt may still begin
--- a/emulator/soak/report.py
+++ b/emulator/soak/report.py
@@ -12,9 +12,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from emulator.soak.judges import Violation
-from emulator.soak.play import RATE, SoakOptions, SoakResult
+from emulator.soak.invariants import Violation
 from emulator.soak.record import Record
+from emulator.soak.runner import RATE, SoakOptions, SoakResult
 
 MOST_PRINTED = 20  # violations
 MOST_LINES = 8  # of the log of a gateway with each
--- a/emulator/soak/play.py
+++ b/emulator/soak/runner.py
@@ -14,10 +14,10 @@
 import uvloop
 
 from emulator.real.faults import build_shim
-from emulator.soak.judges import Violation, judge
+from emulator.soak.environment import World
+from emulator.soak.faults import TROUBLES
+from emulator.soak.invariants import Violation, judge
 from emulator.soak.record import Ending, Record, Trouble
-from emulator.soak.troubles import TROUBLES
-from emulator.soak.world import World
 
 RATE = 14.0  # requests a second for each gateway, if nothing else is said
 SETTLE = 2.0  # seconds before the first trouble
--- a/emulator/soak/standins.py
+++ b/emulator/soak/standins.py
@@ -15,9 +15,9 @@
 import hiredis
 
 from emulator.real.standins import CounterProtocol, DiscoveryProtocol, StandInTally, http_answer
-from emulator.soak.link import Fault, Link
+from emulator.soak.configuration import SLOTS, TOLD_AT_LATEST, WORK
+from emulator.soak.proxy import Fault, Link
 from emulator.soak.record import Began, Record, Started, Told
-from emulator.soak.shape import SLOTS, TOLD_AT_LATEST, WORK
 
 SPOILT = (b"*3\r\n$3\r\nvalue\r\n", b"\x88\xa8\r\n", b"*3\r\n$3000000000\r\n", b"$-1\r\n")
 LONG_VALUE, LONG_ENDING = 40_000, "77"  # bytes; of the ids of requests whose values are long
--- a/tests/test_coverage_table.py
+++ b/tests/test_coverage_table.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from emulator.soak.judges import JUDGES
+from emulator.soak.invariants import JUDGES
 
 ROOT = Path(__file__).resolve().parent.parent
 TABLE = tomllib.loads((ROOT / "docs" / "incidents" / "coverage.toml").read_text())
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from emulator.soak.judges import JUDGES
-from emulator.soak.play import SoakOptions, play
+from emulator.soak.invariants import JUDGES
+from emulator.soak.runner import SoakOptions, play
 from emulator.soak.sabotage import BREAKS
 
 ROOT = Path(__file__).resolve().parent.parent
