--- a/emulator/soak/clients.py
+++ b/emulator/soak/clients.py
@@ -13,316 +13,339 @@
 
 import hiredis
 
-from emulator.soak.configuration import CLASSES, PLAN, SPREAD, ClassShape
-from emulator.soak.record import Asked, BadClient, Ending, Record
-from emulator.soak.standins import value_of
-
-LATE_ANSWER = 0.5  # seconds after its time for which an answer is still one
-BAD_WITHIN = 3.0  # seconds in which a bad client is owed an error or a close
-SPARE = 1.5  # seconds for which it is watched beyond that
-CONNECT_WITHIN = 1.0  # seconds
-SHORT_BODY, LONG_BODY, LONG_PART = 20, 40_000, 0.04  # bytes; part of the bodies that are long
-MOST_PRESSED = 200  # commands on a connection that is pressed
-CUSTOMERS = 40
-RESET = struct.pack("ii", 1, 0)
-
-
-class Connection:
+from emulator.soak.configuration import PLAN, SERVICE_CLASSES, SPREAD, ServiceClassConfig
+from emulator.soak.record import BadClient, RequestOutcome, RequestRecord, SoakRecord
+from emulator.soak.standins import expected_value
+
+LATE_RESPONSE_GRACE = 0.5  # seconds after its time for which an answer is still one
+BAD_CLIENT_TIMEOUT = 3.0  # seconds in which a bad client is owed an error or a close
+OBSERVATION_MARGIN = 1.5  # seconds for which it is watched beyond that
+CONNECT_TIMEOUT = 1.0  # seconds
+SHORT_BODY_BYTES, LONG_BODY_BYTES, LONG_BODY_SHARE = (
+    20,
+    40_000,
+    0.04,
+)  # bytes; part of the bodies that are long
+MAX_PIPELINED_COMMANDS = 200  # commands on a connection that is pressed
+TENANTS = 40
+LINGER_RESET = struct.pack("ii", 1, 0)
+
+
+class ClientConnection:
     """One connection to a gateway. Commands may be written one behind another, and are answered in order."""
 
-    def __init__(self, number: int, gateway: int, life: int) -> None:
-        self.number, self.gateway, self.life = number, gateway, life
+    def __init__(self, number: int, gateway: int, run_number: int) -> None:
+        self.number, self.gateway, self.run_number = number, gateway, run_number
         self.parser = hiredis.Reader()
-        self.pending: list[Asked] = []
-        self.answered: Asked | None = None
+        self.pending: list[RequestRecord] = []
+        self.last_answered: RequestRecord | None = None
         self.reader: asyncio.StreamReader
         self.writer: asyncio.StreamWriter
-        self.over = asyncio.Event()
+        self.closed = asyncio.Event()
 
     async def open(self, port: int) -> None:
         """Connects, and listens until the connection ends. Raises OSError."""
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
-        self.task = asyncio.get_running_loop().create_task(self.listen())
+        self.read_task = asyncio.get_running_loop().create_task(self.read_responses())
 
-    async def listen(self) -> None:
+    async def read_responses(self) -> None:
         """Takes answers until the end."""
         with contextlib.suppress(OSError):
             while data := await self.reader.read(65536):
                 self.parser.feed(data)
-                while (answer := self.parser.gets()) is not False:
-                    self.take(answer)
+                while (response := self.parser.gets()) is not False:
+                    self.handle_response(response)
         now = time.monotonic()
-        for asked in self.pending:
-            if asked.closed_at is None:
-                asked.ending, asked.ended_at = Ending.CLOSED, now
+        for request in self.pending:
+            if request.client_closed_at is None:
+                request.outcome, request.ended_at = RequestOutcome.CONNECTION_CLOSED, now
         self.pending = []
-        self.over.set()
+        self.closed.set()
         self.writer.close()
 
-    def take(self, answer: object) -> None:
+    def handle_response(self, response: object) -> None:
         """One answer: to the oldest command that waits; one too many belongs to the last."""
         now = time.monotonic()
         if not self.pending:
-            if self.answered is not None:
-                self.answered.answers += 1
+            if self.last_answered is not None:
+                self.last_answered.response_count += 1
             return
-        asked = self.answered = self.pending.pop(0)
-        asked.answers += 1
-        asked.ended_at = now
-        if isinstance(answer, bytes):
-            asked.ending, asked.answer = Ending.SERVED, answer
-        elif isinstance(answer, hiredis.ReplyError) and str(answer).startswith("BUSY"):
-            asked.ending = Ending.REFUSED
+        request = self.last_answered = self.pending.pop(0)
+        request.response_count += 1
+        request.ended_at = now
+        if isinstance(response, bytes):
+            request.outcome, request.response = RequestOutcome.SERVED, response
+        elif isinstance(response, hiredis.ReplyError) and str(response).startswith("BUSY"):
+            request.outcome = RequestOutcome.REFUSED
         else:
-            asked.ending = Ending.FAILED
+            request.outcome = RequestOutcome.FAILED
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether a command may be written to it."""
-        return not self.over.is_set() and not self.writer.is_closing()
+        return not self.closed.is_set() and not self.writer.is_closing()
 
-    def leave(self, manner: str) -> None:
+    def disconnect(self, method: str) -> None:
         """The client goes: it closes, resets or ends its sending."""
         now = time.monotonic()
-        for asked in self.pending:
-            asked.closed_at, asked.ending, asked.ended_at = now, Ending.LEFT, now
-        if manner == "half":
+        for request in self.pending:
+            request.client_closed_at, request.outcome, request.ended_at = now, RequestOutcome.CLIENT_LEFT, now
+        if method == "half":
             self.writer.write_eof()
             return
-        if manner == "reset":
+        if method == "reset":
             sock = self.writer.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-        self.writer.transport.abort() if manner == "reset" else self.writer.close()
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+        self.writer.transport.abort() if method == "reset" else self.writer.close()
 
 
-class Front:
+class FrontEnd:
     """Knows which gateways are ready, as a front does some time after it."""
 
-    def __init__(self, ports: list[int], life: Callable[[int], int]) -> None:
-        self.ports, self.life = ports, life
+    def __init__(self, ports: list[int], current_run: Callable[[int], int]) -> None:
+        self.ports, self.current_run = ports, current_run
         self.ready = [False] * len(ports)
 
-    def pick(self, first: int, generator: random.Random) -> int | None:
+    def pick_gateway(self, first_gateway: int, generator: random.Random) -> int | None:
         """A ready gateway of a customer's set."""
-        chosen = [(first + n) % len(self.ports) for n in range(min(SPREAD, len(self.ports)))]
-        able = [index for index in chosen if self.ready[index]]
-        return generator.choice(able) if able else None
+        tenant_gateways = [
+            (first_gateway + offset) % len(self.ports) for offset in range(min(SPREAD, len(self.ports)))
+        ]
+        ready_gateways = [index for index in tenant_gateways if self.ready[index]]
+        return generator.choice(ready_gateways) if ready_gateways else None
 
 
-class Crowd:
+class ClientSimulator:
     """All clients of a run."""
 
-    def __init__(self, front: Front, record: Record, generator: random.Random) -> None:
-        self.front, self.record, self.generator = front, record, generator
-        self.numbers, self.ids = itertools.count(1), itertools.count(1)
-        self.free: dict[int, list[Connection]] = {}
+    def __init__(self, front_end: FrontEnd, record: SoakRecord, generator: random.Random) -> None:
+        self.front_end, self.record, self.generator = front_end, record, generator
+        self.connection_numbers, self.request_ids = itertools.count(1), itertools.count(1)
+        self.idle_connections: dict[int, list[ClientConnection]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.listeners: set[asyncio.Task[None]] = set()  # of all connections that were opened
-        self.leaving, self.slow, self.resting = 0.02, 0.02, 0.01  # parts of the requests
+        self.read_tasks: set[asyncio.Task[None]] = set()  # of all connections that were opened
+        self.leave_share, self.slow_share, self.idle_share = 0.02, 0.02, 0.01  # parts of the requests
         self.stopped = False
 
-    async def ask_steadily(self, rate: float) -> None:
+    async def generate_load(self, rate: float) -> None:
         """Requests at random times, so many a second, until `stopped`."""
         while not self.stopped:
             await asyncio.sleep(self.generator.expovariate(rate))
-            self.spawn(self.request())
+            self.spawn(self.run_request())
 
-    def spawn(self, work: object) -> None:
+    def spawn(self, client: object) -> None:
         """Starts one client's work."""
-        task = asyncio.get_running_loop().create_task(work)  # type: ignore[arg-type]
+        task = asyncio.get_running_loop().create_task(client)  # type: ignore[arg-type]
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def command(self, request: str, shape: ClassShape, customer: int) -> bytes:
+    def encode_command(self, request_id: str, service: ServiceClassConfig, tenant: int) -> bytes:
         """A request on the wire."""
-        first = customer % len(self.front.ports)
-        spread = min(SPREAD, len(self.front.ports))
-        key = "" if shape.effect.value != "keyed" else f",k=key-{request}"
-        terms = (
-            f"c={shape.name},t={PLAN.name},d={int(shape.deadline * 1000)}{key},"
-            f"units=1,spread={spread},first={first}"
+        first_gateway = tenant % len(self.front_end.ports)
+        spread = min(SPREAD, len(self.front_end.ports))
+        key = "" if service.effect.value != "keyed" else f",k=key-{request_id}"
+        options = (
+            f"c={service.name},t={PLAN.name},d={int(service.deadline * 1000)}{key},"
+            f"units=1,spread={spread},first={first_gateway}"
         )
-        read = shape.effect.value == "safe"
-        parts = ["API.READ" if read else "API.WRITE", f"{customer:016x}", request, terms]
-        parts += [] if read else ["B" * (LONG_BODY if self.generator.random() < LONG_PART else SHORT_BODY)]
-        return (f"*{len(parts)}\r\n" + "".join(f"${len(p)}\r\n{p}\r\n" for p in parts)).encode()
+        is_read = service.effect.value == "safe"
+        parts = ["API.READ" if is_read else "API.WRITE", f"{tenant:016x}", request_id, options]
+        parts += (
+            []
+            if is_read
+            else ["B" * (LONG_BODY_BYTES if self.generator.random() < LONG_BODY_SHARE else SHORT_BODY_BYTES)]
+        )
+        return (f"*{len(parts)}\r\n" + "".join(f"${len(part)}\r\n{part}\r\n" for part in parts)).encode()
 
-    async def connection(self, gateway: int) -> Connection | None:
+    async def acquire_connection(self, gateway: int) -> ClientConnection | None:
         """A free connection to a gateway, or a new one; None where none comes up."""
-        free = self.free.setdefault(gateway, [])
-        while free:
-            connection = free.pop()
-            if connection.usable and connection.life == self.front.life(gateway):
+        idle = self.idle_connections.setdefault(gateway, [])
+        while idle:
+            connection = idle.pop()
+            if connection.is_usable and connection.run_number == self.front_end.current_run(gateway):
                 return connection
-        return await self.new_connection(gateway)
+        return await self.open_connection(gateway)
 
-    async def new_connection(self, gateway: int) -> Connection | None:
+    async def open_connection(self, gateway: int) -> ClientConnection | None:
         """A new connection to a gateway; None where none comes up."""
-        connection = Connection(next(self.numbers), gateway, self.front.life(gateway))
+        connection = ClientConnection(
+            next(self.connection_numbers), gateway, self.front_end.current_run(gateway)
+        )
         try:
-            async with asyncio.timeout(CONNECT_WITHIN):
-                await connection.open(self.front.ports[gateway])
+            async with asyncio.timeout(CONNECT_TIMEOUT):
+                await connection.open(self.front_end.ports[gateway])
         except (OSError, TimeoutError):
             return None
-        self.listeners.add(connection.task)
-        connection.task.add_done_callback(self.listeners.discard)
+        self.read_tasks.add(connection.read_task)
+        connection.read_task.add_done_callback(self.read_tasks.discard)
         return connection
 
-    async def request(self) -> None:
+    async def run_request(self) -> None:
         """One request of a usual client, which may leave early, write slowly or rest first."""
         generator = self.generator
-        customer = int(CUSTOMERS * generator.random() ** 1.5)
-        shape = generator.choices(CLASSES, [each.share for each in CLASSES])[0]
-        gateway = self.front.pick(customer % len(self.front.ports), generator)
-        if gateway is None or (connection := await self.connection(gateway)) is None:
+        tenant = int(TENANTS * generator.random() ** 1.5)
+        service = generator.choices(SERVICE_CLASSES, [each.traffic_share for each in SERVICE_CLASSES])[0]
+        gateway = self.front_end.pick_gateway(tenant % len(self.front_end.ports), generator)
+        if gateway is None or (connection := await self.acquire_connection(gateway)) is None:
             return
-        manner = generator.random()
-        if manner < self.leaving:
-            asked = await self.write(connection, shape, customer)
+        draw = generator.random()
+        if draw < self.leave_share:
+            request = await self.send_request(connection, service, tenant)
             await asyncio.sleep(generator.random() * 0.2)
-            if asked.ending is Ending.NONE and connection.usable:
-                connection.leave(generator.choice(("close", "reset", "half")))
+            if request.outcome is RequestOutcome.NO_RESPONSE and connection.is_usable:
+                connection.disconnect(generator.choice(("close", "reset", "half")))
             return
-        slow = self.leaving <= manner < self.leaving + self.slow
-        asked = await self.write(connection, shape, customer, slow)
-        await self.wait(connection, asked)
-        if asked.ending is Ending.CLOSED and self.crossed(asked):
-            await self.once_more(asked, shape, customer)
-        elif connection.usable:
-            self.free[gateway].append(connection)
-
-    async def write(
-        self, connection: Connection, shape: ClassShape, customer: int, slow: bool = False, request: str = ""
-    ) -> Asked:
+        slow = self.leave_share <= draw < self.leave_share + self.slow_share
+        request = await self.send_request(connection, service, tenant, slow)
+        await self.wait_for_response(connection, request)
+        if request.outcome is RequestOutcome.CONNECTION_CLOSED and self.crossed_close(request):
+            await self.resend(request, service, tenant)
+        elif connection.is_usable:
+            self.idle_connections[gateway].append(connection)
+
+    async def send_request(
+        self,
+        connection: ClientConnection,
+        service: ServiceClassConfig,
+        tenant: int,
+        slow: bool = False,
+        request_id: str = "",
+    ) -> RequestRecord:
         """Writes a command; its time begins with its last byte."""
-        request = request or f"q{next(self.ids)}"
-        text = self.command(request, shape, customer)
+        request_id = request_id or f"q{next(self.request_ids)}"
+        text = self.encode_command(request_id, service, tenant)
         if slow:
             half = self.generator.randrange(1, len(text))
             connection.writer.write(text[:half])
             await asyncio.sleep(0.05 + 0.3 * self.generator.random())
             text = text[half:]
-        asked = Asked(
-            request,
+        request = RequestRecord(
+            request_id,
             connection.gateway,
-            connection.life,
+            connection.run_number,
             connection.number,
-            shape.effect,
-            f"{customer:016x}",
-            shape.deadline,
+            service.effect,
+            f"{tenant:016x}",
+            service.deadline,
             time.monotonic(),
         )
-        self.record.asked.append(asked)
-        connection.pending.append(asked)
-        if connection.over.is_set():
-            asked.ending, asked.ended_at = Ending.CLOSED, asked.at
+        self.record.requests.append(request)
+        connection.pending.append(request)
+        if connection.closed.is_set():
+            request.outcome, request.ended_at = RequestOutcome.CONNECTION_CLOSED, request.sent_at
         else:
             connection.writer.write(text)
-        return asked
+        return request
 
-    async def wait(self, connection: Connection, asked: Asked) -> None:
+    async def wait_for_response(self, connection: ClientConnection, request: RequestRecord) -> None:
         """Waits for the answer, or until it can be none any more."""
-        until = asked.at + asked.deadline + LATE_ANSWER + SPARE
-        while asked.ending is Ending.NONE and time.monotonic() < until:
+        until = request.sent_at + request.timeout + LATE_RESPONSE_GRACE + OBSERVATION_MARGIN
+        while request.outcome is RequestOutcome.NO_RESPONSE and time.monotonic() < until:
             await asyncio.sleep(0.02)
-        if asked.ending is Ending.NONE and connection.usable:
+        if request.outcome is RequestOutcome.NO_RESPONSE and connection.is_usable:
             connection.writer.close()
 
-    def crossed(self, asked: Asked) -> bool:
+    def crossed_close(self, request: RequestRecord) -> bool:
         """Whether the close of its connection crossed the request, which was then not read."""
-        return asked.ended_at - asked.at < 0.05
+        return request.ended_at - request.sent_at < 0.05
 
-    async def once_more(self, asked: Asked, shape: ClassShape, customer: int) -> None:
+    async def resend(self, request: RequestRecord, service: ServiceClassConfig, tenant: int) -> None:
         """Sends a request that crossed a close once more, on a new connection."""
-        gateway = self.front.pick(customer % len(self.front.ports), self.generator)
-        if gateway is None or (connection := await self.new_connection(gateway)) is None:
+        gateway = self.front_end.pick_gateway(tenant % len(self.front_end.ports), self.generator)
+        if gateway is None or (connection := await self.open_connection(gateway)) is None:
             return
-        again = await self.write(connection, shape, customer, request=asked.id)
-        await self.wait(connection, again)
-        if connection.usable:
+        resent = await self.send_request(connection, service, tenant, request_id=request.id)
+        await self.wait_for_response(connection, resent)
+        if connection.is_usable:
             connection.writer.close()
 
-    async def burst(self, count: int, leave: bool) -> None:
+    async def run_burst(self, count: int, disconnect: bool) -> None:
         """Many commands at once on one connection, whose client may leave at once."""
-        gateway = self.front.pick(self.generator.randrange(len(self.front.ports)), self.generator)
-        if gateway is None or (connection := await self.connection(gateway)) is None:
+        gateway = self.front_end.pick_gateway(
+            self.generator.randrange(len(self.front_end.ports)), self.generator
+        )
+        if gateway is None or (connection := await self.acquire_connection(gateway)) is None:
             return
-        asked = [
-            await self.write(connection, self.generator.choice(CLASSES), self.generator.randrange(CUSTOMERS))
+        requests = [
+            await self.send_request(
+                connection, self.generator.choice(SERVICE_CLASSES), self.generator.randrange(TENANTS)
+            )
             for _ in range(count)
         ]
-        if leave and connection.usable:
+        if disconnect and connection.is_usable:
             await asyncio.sleep(self.generator.random() * 0.02)
-            connection.leave("close")
+            connection.disconnect("close")
             return
-        for each in asked:
-            await self.wait(connection, each)
-        if connection.usable:
+        for request in requests:
+            await self.wait_for_response(connection, request)
+        if connection.is_usable:
             connection.writer.close()
 
-    async def press(self, gateway: int, every: float) -> None:
+    async def send_until_closed(self, gateway: int, interval: float) -> None:
         """Sends on one connection to a gateway for as long as that is open, whatever the gateway is told."""
-        connection = await self.new_connection(gateway)
-        written: list[tuple[Asked, ClassShape, int]] = []
-        while connection is not None and connection.usable and len(written) < MOST_PRESSED:
-            shape, customer = self.generator.choice(CLASSES), self.generator.randrange(CUSTOMERS)
-            written.append((await self.write(connection, shape, customer), shape, customer))
-            await asyncio.sleep(every)
-        for asked, shape, customer in written:
-            await self.wait(connection, asked)
-            if asked.ending is Ending.CLOSED and self.crossed(asked):
-                await self.once_more(asked, shape, customer)
-
-    async def rest_and_cross(self) -> None:
+        connection = await self.open_connection(gateway)
+        sent: list[tuple[RequestRecord, ServiceClassConfig, int]] = []
+        while connection is not None and connection.is_usable and len(sent) < MAX_PIPELINED_COMMANDS:
+            service, tenant = self.generator.choice(SERVICE_CLASSES), self.generator.randrange(TENANTS)
+            sent.append((await self.send_request(connection, service, tenant), service, tenant))
+            await asyncio.sleep(interval)
+        for request, service, tenant in sent:
+            await self.wait_for_response(connection, request)
+            if request.outcome is RequestOutcome.CONNECTION_CLOSED and self.crossed_close(request):
+                await self.resend(request, service, tenant)
+
+    async def send_at_idle_timeout(self) -> None:
         """Rests until the gateway is about to close the connection, and asks just then."""
-        gateway = self.front.pick(self.generator.randrange(len(self.front.ports)), self.generator)
-        if gateway is None or (connection := await self.connection(gateway)) is None:
+        gateway = self.front_end.pick_gateway(
+            self.generator.randrange(len(self.front_end.ports)), self.generator
+        )
+        if gateway is None or (connection := await self.acquire_connection(gateway)) is None:
             return
-        shape, customer = CLASSES[0], self.generator.randrange(CUSTOMERS)
+        service, tenant = SERVICE_CLASSES[0], self.generator.randrange(TENANTS)
         await asyncio.sleep(2.1 + 0.5 * self.generator.random())
-        if not connection.usable:
+        if not connection.is_usable:
             return
-        asked = await self.write(connection, shape, customer)
-        await self.wait(connection, asked)
-        if asked.ending is Ending.CLOSED and self.crossed(asked):
-            await self.once_more(asked, shape, customer)
+        request = await self.send_request(connection, service, tenant)
+        await self.wait_for_response(connection, request)
+        if request.outcome is RequestOutcome.CONNECTION_CLOSED and self.crossed_close(request):
+            await self.resend(request, service, tenant)
 
-    async def misbehave(self) -> None:
+    async def run_bad_client(self) -> None:
         """One bad client: it is owed an error or a close within 3 s of its fault."""
         generator = self.generator
-        gateway = self.front.pick(generator.randrange(len(self.front.ports)), generator)
+        gateway = self.front_end.pick_gateway(generator.randrange(len(self.front_end.ports)), generator)
         if gateway is None:
             return
-        sound = self.command(f"b{next(self.ids)}", CLASSES[0], 0)
-        texts = {
+        valid_command = self.encode_command(f"b{next(self.request_ids)}", SERVICE_CLASSES[0], 0)
+        commands_by_kind = {
             "garbage": b"\x88\xa8\x01garbage\r\n",
             "long line": b"*" + b"1" * 5000,
-            "half a command": sound[: generator.randrange(1, len(sound) - 1)],
-            "half behind one in work": sound + sound[: len(sound) // 2],
+            "half a command": valid_command[: generator.randrange(1, len(valid_command) - 1)],
+            "half behind one in work": valid_command + valid_command[: len(valid_command) // 2],
             "silent": b"",
-            "unknown class": sound.replace(b"c=fetch", b"c=xxxxx"),
+            "unknown class": valid_command.replace(b"c=fetch", b"c=xxxxx"),
             "negative length": b"*4\r\n$-7\r\n",
             "huge length": b"*4\r\n$8\r\nAPI.READ\r\n$999999999\r\n",
         }
-        manner = generator.choice(sorted(texts))
-        life = self.front.life(gateway)
+        kind = generator.choice(sorted(commands_by_kind))
+        run_number = self.front_end.current_run(gateway)
         try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.front.ports[gateway])
+            reader, writer = await asyncio.open_connection("127.0.0.1", self.front_end.ports[gateway])
         except OSError:
             return
-        bad = BadClient(manner, gateway, life, time.monotonic())
-        self.record.bad_clients.append(bad)
-        writer.write(texts[manner])
+        bad_client = BadClient(kind, gateway, run_number, time.monotonic())
+        self.record.bad_clients.append(bad_client)
+        writer.write(commands_by_kind[kind])
         with contextlib.suppress(OSError, TimeoutError):
-            async with asyncio.timeout(BAD_WITHIN + SPARE):
+            async with asyncio.timeout(BAD_CLIENT_TIMEOUT + OBSERVATION_MARGIN):
                 while (line := await reader.readline()) and not line.startswith(b"-ERR"):
                     if line.startswith(b"$"):
                         await reader.readline()
-        if time.monotonic() - bad.at < BAD_WITHIN + SPARE:
-            bad.ended_at = time.monotonic()
+        if time.monotonic() - bad_client.started_at < BAD_CLIENT_TIMEOUT + OBSERVATION_MARGIN:
+            bad_client.ended_at = time.monotonic()
         writer.close()
 
-    async def finish(self) -> None:
+    async def stop(self) -> None:
         """No more requests; waits for those that are out."""
         self.stopped = True
         while self.tasks:
@@ -330,10 +353,10 @@
 
     def close(self) -> None:
         """Ends what is left of its connections."""
-        for task in [*self.tasks, *self.listeners]:
+        for task in [*self.tasks, *self.read_tasks]:
             task.cancel()
 
 
-def served_rightly(asked: Asked) -> bool:
+def has_expected_value(request: RequestRecord) -> bool:
     """Whether what it was served is what servers make for it."""
-    return asked.answer == value_of(asked.id)
+    return request.response == expected_value(request.id)
--- a/emulator/soak/command.py
+++ b/emulator/soak/command.py
@@ -10,20 +10,20 @@
 
 from emulator.real.faults import ShimError
 from emulator.soak.report import print_soak, write_soak
-from emulator.soak.runner import RATE, SoakError, SoakOptions, play
+from emulator.soak.runner import DEFAULT_RATE, SoakError, SoakOptions, run_soak
 
-SECONDS = 60  # in a minute
-MOST_GATEWAYS, MOST_MINUTES, MOST_RATE = 60, 120.0, 500.0
-FOUND = 1  # exit code where an invariant did not hold
+SECONDS_PER_MINUTE = 60  # in a minute
+MAX_GATEWAYS, MAX_MINUTES, MAX_RATE = 60, 120.0, 500.0
+EXIT_VIOLATIONS = 1  # exit code where an invariant did not hold
 
 
 def soak(
     seed: Annotated[int, typer.Option(min=0, help="Of the troubles that are drawn.")] = 1,
-    gateways: Annotated[int, typer.Option(min=1, max=MOST_GATEWAYS, help="Real processes.")] = 24,
+    gateways: Annotated[int, typer.Option(min=1, max=MAX_GATEWAYS, help="Real processes.")] = 24,
     minutes: Annotated[
-        float, typer.Option(min=0.05, max=MOST_MINUTES, help="For which troubles are played.")
+        float, typer.Option(min=0.05, max=MAX_MINUTES, help="For which troubles are played.")
     ] = 1.0,
-    rate: Annotated[float, typer.Option(min=1, max=MOST_RATE, help="Requests a second each.")] = RATE,
+    rate: Annotated[float, typer.Option(min=1, max=MAX_RATE, help="Requests a second each.")] = DEFAULT_RATE,
     troubles: Annotated[str, typer.Option(help="Names to draw from, with commas; all if empty.")] = "",
     out: Annotated[
         Path | None, typer.Option(dir_okay=False, help="Also write what was found as JSON.")
@@ -34,11 +34,11 @@
 ) -> None:
     """Plays real gateways under overlapping troubles and judges them from outside."""
     names = tuple(name for name in troubles.split(",") if name)
-    options = SoakOptions(seed, gateways, minutes * SECONDS, rate, names, folder=logs)
+    options = SoakOptions(seed, gateways, minutes * SECONDS_PER_MINUTE, rate, names, directory=logs)
     errors = Console(stderr=True)
     try:
-        result = play(
-            options, lambda text, part: errors.print(f"{100 * part:3.0f}%  {text}", highlight=False)
+        result = run_soak(
+            options, lambda text, share: errors.print(f"{100 * share:3.0f}%  {text}", highlight=False)
         )
     except (SoakError, ShimError) as err:
         raise typer.BadParameter(str(err)) from err
@@ -49,4 +49,4 @@
         except OSError as err:
             raise typer.BadParameter(f"{out}: {err.strerror}") from err
     if result.violations:
-        raise typer.Exit(FOUND)
+        raise typer.Exit(EXIT_VIOLATIONS)
--- a/emulator/soak/configuration.py
+++ b/emulator/soak/configuration.py
@@ -1,4 +1,4 @@
-"""The deployment that a soak plays: settings of its gateways, and figures that the judges go by."""
+"""The configuration of a soak: settings of its gateways, and constants that the invariant checks use."""
 
 from __future__ import annotations
 
@@ -8,46 +8,51 @@
 from emulator.deployment import MILLISECOND_NS, SECOND_NS, Deployment, PlanShape
 from emulator.soak.record import Effect
 
-SPREAD = 3  # gateways that a customer's requests come through
-SLOTS = 2  # requests that a server works on at once
-WORK = 0.03  # seconds of a request, in the mean
+SPREAD = 3  # gateways that receive the requests of one tenant
+SERVER_CONCURRENCY = 2  # requests that a server processes at once
+MEAN_SERVICE_TIME = 0.03  # seconds
 PLAN = PlanShape("standard", rate=6.0, burst=12.0)
-GRACE = 1.0  # seconds in which sends to a drained server must stop
-TOLD_AT_LATEST = 6.0  # seconds after which what discovery has counts as told, whatever became of calls
-COLD_TIME, COLD_SHARE = (
-    6.0,
-    0.15,
-)  # seconds until a server is warm; the part of its capacity that it has at first
-FALL_MULTIPLE, FALL_TIME = 3.0, 1.0
-MEMORY = 2.0  # seconds for which repeats of a keyed request are dropped
-SOCKETS = 256  # descriptors that a gateway may hold
-CONNECT_TIMEOUT = 1.5
+DRAIN_GRACE = 1.0  # seconds within which a gateway must stop sending to a draining server
+# Seconds after which a change in discovery is assumed to have reached every gateway, even if calls failed.
+MAX_DISCOVERY_DELAY = 6.0
+SLOW_START_DURATION = 6.0  # seconds
+SLOW_START_INITIAL_SHARE = 0.15  # share of its capacity that a server has when it starts
+OVERLOAD_MULTIPLE = 3.0  # a server fails above this multiple of its current capacity
+OVERLOAD_WINDOW = 1.0  # seconds over which the load of a server is compared with its capacity
+DEDUP_WINDOW = 2.0  # seconds for which servers drop a retry of a keyed request
+MAX_DESCRIPTORS = 256  # descriptors that a gateway may hold
+CONNECT_TIMEOUT = 1.5  # seconds
 
 
 @dataclass(frozen=True, slots=True)
-class ClassShape:
-    """A class of requests; times in seconds."""
+class ServiceClassConfig:
+    """A service class of the soak.
+
+    Attributes:
+        latency_target, deadline: seconds.
+        traffic_share: share of the requests that belong to this class.
+    """
 
     name: str
     effect: Effect
-    aim: float
+    latency_target: float
     deadline: float
-    share: float
+    traffic_share: float
 
 
-CLASSES = (
-    ClassShape("fetch", Effect.SAFE, 0.6, 1.5, 0.6),
-    ClassShape("report", Effect.KEYED, 0.6, 2.5, 0.25),
-    ClassShape("order", Effect.UNSAFE, 0.6, 2.0, 0.15),
+SERVICE_CLASSES = (
+    ServiceClassConfig("fetch", Effect.SAFE, 0.6, 1.5, 0.6),
+    ServiceClassConfig("report", Effect.KEYED, 0.6, 2.5, 0.25),
+    ServiceClassConfig("order", Effect.UNSAFE, 0.6, 2.0, 0.15),
 )
-LONGEST = max(shape.deadline for shape in CLASSES)
-EFFECT_NAMES = {Effect.SAFE: "pure", Effect.KEYED: "token", Effect.UNSAFE: "side_effect"}
+MAX_DEADLINE = max(service.deadline for service in SERVICE_CLASSES)
+EFFECT_SETTINGS = {Effect.SAFE: "pure", Effect.KEYED: "token", Effect.UNSAFE: "side_effect"}
 
 
 def settings_tree(gateways: int, index: int) -> dict[str, Any]:
-    """The settings of one gateway as nested JSON."""
+    """Returns the settings of one gateway as nested JSON, with times in nanoseconds."""
     deployment = Deployment(
-        gateways, 16, zones=2, plans=(PLAN,), cold_time=COLD_TIME, extra_limits={"max_open": 500}
+        gateways, 16, zones=2, plans=(PLAN,), cold_time=SLOW_START_DURATION, extra_limits={"max_open": 500}
     )
     tree = deployment.settings_tree(index)
     tree["limits"]["connect_timeout"] = int(CONNECT_TIMEOUT * SECOND_NS)
@@ -55,14 +60,14 @@
     tree["specifics"]["counter_timeout"] = 80 * MILLISECOND_NS
     tree["services"] = [
         {
-            "name": shape.name,
-            "slo": int(shape.aim * SECOND_NS),
-            "deadline": int(shape.deadline * SECOND_NS),
-            "effect": EFFECT_NAMES[shape.effect],
+            "name": service.name,
+            "slo": int(service.latency_target * SECOND_NS),
+            "deadline": int(service.deadline * SECOND_NS),
+            "effect": EFFECT_SETTINGS[service.effect],
             "dedup_scope": "all",
-            "memory_span": int(MEMORY * SECOND_NS),
+            "memory_span": int(DEDUP_WINDOW * SECOND_NS),
             "gain": 1.0,
         }
-        for shape in CLASSES
+        for service in SERVICE_CLASSES
     ]
     return tree
--- a/emulator/soak/environment.py
+++ b/emulator/soak/environment.py
@@ -8,123 +8,139 @@
 import time
 from pathlib import Path
 
-from emulator.soak.clients import Crowd, Front
-from emulator.soak.configuration import SLOTS, WORK
+from emulator.soak.clients import ClientSimulator, FrontEnd
+from emulator.soak.configuration import MEAN_SERVICE_TIME, SERVER_CONCURRENCY
 from emulator.soak.gateways import SoakGateway
-from emulator.soak.record import Changed, Record
-from emulator.soak.standins import Agent, FontServer, SoakCounter, SoakList, started_now
-
-SERVERS_LEAST = 6
-LOAD = 0.35  # part of what all servers can do that is asked
-SAMPLE_EVERY = 0.5  # seconds
-LAG_LOOK, LAG_NOTED = 0.01, 0.02  # seconds
-
-
-class World:
+from emulator.soak.record import SoakRecord, StateChange
+from emulator.soak.standins import (
+    DiscoveryAgent,
+    SoakCounter,
+    SoakServer,
+    SoakServerList,
+    record_server_start,
+)
+
+MIN_SERVERS = 6
+TARGET_UTILIZATION = 0.35  # part of what all servers can do that is asked
+SAMPLE_INTERVAL = 0.5  # seconds
+DELAY_CHECK_INTERVAL, DELAY_THRESHOLD = 0.01, 0.02  # seconds
+
+
+class SoakEnvironment:
     """A fleet and all that it speaks to."""
 
     def __init__(
         self,
         gateways: int,
         seed: int,
-        folder: Path,
+        directory: Path,
         shim: Path,
         rate: float,
-        broken: tuple[str | None, ...] = (),
+        sabotage: tuple[str | None, ...] = (),
     ) -> None:
         """`rate`: requests a second for each gateway."""
         self.generator = random.Random(seed)
-        self.record = Record(time.monotonic())
-        self.listed, self.counter = SoakList(), SoakCounter()
-        self.servers: list[FontServer] = []
-        self.ended_servers: list[FontServer] = []
+        self.record = SoakRecord(time.monotonic())
+        self.server_list, self.counter = SoakServerList(), SoakCounter()
+        self.servers: list[SoakServer] = []
+        self.removed_servers: list[SoakServer] = []
         self.gateways: list[SoakGateway] = []
         for index in range(gateways):
-            agent = Agent(index, self.listed, self.record, lambda index=index: self.life(index), [], [])
-            how = broken[index] if index < len(broken) else None
-            self.gateways.append(SoakGateway(index, gateways, folder, shim, agent, self.record, how))
-        self.front = Front([gateway.port for gateway in self.gateways], self.life)
-        self.crowd = Crowd(self.front, self.record, self.generator)
+            agent = DiscoveryAgent(
+                index, self.server_list, self.record, lambda index=index: self.current_run(index), [], []
+            )
+            gateway_sabotage = sabotage[index] if index < len(sabotage) else None
+            self.gateways.append(
+                SoakGateway(index, gateways, directory, shim, agent, self.record, gateway_sabotage)
+            )
+        self.front_end = FrontEnd([gateway.port for gateway in self.gateways], self.current_run)
+        self.clients = ClientSimulator(self.front_end, self.record, self.generator)
         self.rate = rate * gateways  # requests a second in all
-        self.server_count = max(SERVERS_LEAST, round(self.rate * WORK / SLOTS / LOAD))
-        self.watchers: list[asyncio.Task[None]] = []
+        self.server_count = max(
+            MIN_SERVERS, round(self.rate * MEAN_SERVICE_TIME / SERVER_CONCURRENCY / TARGET_UTILIZATION)
+        )
+        self.background_tasks: list[asyncio.Task[None]] = []
 
-    def life(self, index: int) -> int:
+    def current_run(self, index: int) -> int:
         """The number of the process of a gateway that runs now."""
-        return self.gateways[index].lives
+        return self.gateways[index].run_number
 
     async def start(self) -> None:
         """Starts all parties, then the gateways."""
         await self.counter.start(self.generator)
         for _ in range(self.server_count):
-            await self.add_server(cold=False)
+            await self.add_server(slow_start=False)
         for gateway in self.gateways:
             await gateway.agent.start(self.generator)
-        await asyncio.gather(*(gateway.start(self.counter, self.listed) for gateway in self.gateways))
-        self.watchers = [
-            asyncio.get_running_loop().create_task(work)
-            for work in (self.watch_lag(), self.watch_fleet(), self.crowd.ask_steadily(self.rate))
+        await asyncio.gather(*(gateway.start(self.counter, self.server_list) for gateway in self.gateways))
+        self.background_tasks = [
+            asyncio.get_running_loop().create_task(background)
+            for background in (
+                self.monitor_scheduling_delay(),
+                self.monitor_gateways(),
+                self.clients.generate_load(self.rate),
+            )
         ]
 
-    async def add_server(self, cold: bool) -> FontServer:
+    async def add_server(self, slow_start: bool) -> SoakServer:
         """A new server, warm or just started."""
-        name = f"s-{len(self.servers) + len(self.ended_servers):04d}"
-        started = started_now(self.record, name) if cold else 0
-        server = FontServer(name, self.record, random.Random(self.generator.random()), started)
+        name = f"s-{len(self.servers) + len(self.removed_servers):04d}"
+        started = record_server_start(self.record, name) if slow_start else 0
+        server = SoakServer(name, self.record, random.Random(self.generator.random()), started)
         await server.start()
         self.servers.append(server)
-        self.listed.change(server.entry())
+        self.server_list.apply_change(server.entry())
         return server
 
-    def change_state(self, server: FontServer, state: str) -> None:
+    def set_server_state(self, server: SoakServer, state: str) -> None:
         """Discovery hears of it."""
         server.state = state
-        self.record.changed.append(Changed(server.name, state, time.monotonic()))
-        self.listed.change(server.entry())
+        self.record.state_changes.append(StateChange(server.name, state, time.monotonic()))
+        self.server_list.apply_change(server.entry())
 
-    def remove(self, server: FontServer) -> None:
+    def remove_server(self, server: SoakServer) -> None:
         """It is gone from the list; its process stays up, so that what is sent to it is seen."""
-        self.change_state(server, "removed")
+        self.set_server_state(server, "removed")
         self.servers.remove(server)
-        self.ended_servers.append(server)
+        self.removed_servers.append(server)
 
-    async def watch_lag(self) -> None:
+    async def monitor_scheduling_delay(self) -> None:
         """Notes when this process, whose clock everything is judged by, was late itself."""
         while True:
-            due = time.monotonic() + LAG_LOOK
-            await asyncio.sleep(LAG_LOOK)
-            if (lag := time.monotonic() - due) > LAG_NOTED:
-                self.record.lags.append((time.monotonic(), lag))
+            expected_at = time.monotonic() + DELAY_CHECK_INTERVAL
+            await asyncio.sleep(DELAY_CHECK_INTERVAL)
+            if (delay := time.monotonic() - expected_at) > DELAY_THRESHOLD:
+                self.record.scheduling_delays.append((time.monotonic(), delay))
 
-    async def watch_fleet(self) -> None:
+    async def monitor_gateways(self) -> None:
         """Keeps the front's knowledge and samples of the processes."""
         while True:
-            self.front.ready = [gateway.ready for gateway in self.gateways]
+            self.front_end.ready = [gateway.ready for gateway in self.gateways]
             for gateway in self.gateways:
                 gateway.sample()
-            await asyncio.sleep(SAMPLE_EVERY / 5)
+            await asyncio.sleep(SAMPLE_INTERVAL / 5)
 
-    async def finish(self) -> None:
+    async def stop(self) -> None:
         """Lets requests end, then ends the gateways and everything else."""
-        await self.crowd.finish()
+        await self.clients.stop()
         for gateway in self.gateways:
-            gateway.faults.clear()
+            gateway.fault_injector.clear()
         await asyncio.gather(
-            *(gateway.terminate() for gateway in self.gateways if gateway.life.ended_at is None)
+            *(gateway.terminate() for gateway in self.gateways if gateway.process_run.ended_at is None)
         )
-        self.record.ended = time.monotonic()
+        self.record.ended_at = time.monotonic()
 
     def close(self) -> None:
         """Ends whatever is left."""
-        for task in self.watchers:
+        for task in self.background_tasks:
             task.cancel()
         for gateway in self.gateways:
             if gateway.process is not None and gateway.process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
                     gateway.process.kill()
             gateway.agent.close()
-            gateway.reserved.close()
-        for server in [*self.servers, *self.ended_servers]:
+            gateway.reserved_socket.close()
+        for server in [*self.servers, *self.removed_servers]:
             server.close()
-        self.crowd.close()
+        self.clients.close()
         self.counter.close()
--- a/emulator/soak/gateways.py
+++ b/emulator/soak/gateways.py
@@ -14,34 +14,36 @@
 from pathlib import Path
 from typing import Any
 
-from emulator.real.faults import Faults
+from emulator.real.faults import FaultInjector
 from emulator.real.processes import READY_WITHIN, ProcessError, answers_ping, run_command, usage
 from emulator.results import ROOT
-from emulator.soak.configuration import LONGEST, SOCKETS, settings_tree
-from emulator.soak.record import Life, Record
-from emulator.soak.standins import Agent, SoakCounter, SoakList
+from emulator.soak.configuration import MAX_DEADLINE, MAX_DESCRIPTORS, settings_tree
+from emulator.soak.record import ProcessRun, SoakRecord
+from emulator.soak.standins import DiscoveryAgent, SoakCounter, SoakServerList
 
-READY_LOOK = 0.02  # seconds between looks whether a gateway is ready
-PING_WITHIN = 1.0
-FRONT_NOTICES = 0.5  # seconds after which the front knows that a gateway has died
-KILL_AFTER = min(LONGEST, 3.0) + 0.7  # seconds from SIGTERM to SIGKILL at the earliest
-LOG_TAIL = 20_000  # bytes
-PORTS = itertools.cycle(range(12_000 + os.getpid() % 1000 * 16, 30_000))  # below those that the system picks
-SABOTAGE = "emulator.soak.sabotage"
+READY_POLL_INTERVAL = 0.02  # seconds between looks whether a gateway is ready
+PING_TIMEOUT = 1.0
+FAILURE_DETECTION_DELAY = 0.5  # seconds after which the front knows that a gateway has died
+KILL_AFTER = min(MAX_DEADLINE, 3.0) + 0.7  # seconds from SIGTERM to SIGKILL at the earliest
+LOG_TAIL_BYTES = 20_000  # bytes
+CANDIDATE_PORTS = itertools.cycle(
+    range(12_000 + os.getpid() % 1000 * 16, 30_000)
+)  # below those that the system picks
+SABOTAGE_MODULE = "emulator.soak.sabotage"
 
 
 def reserve_port() -> socket.socket:
     """A socket bound to a port that nobody else is bound to, nor the system hands out. A gateway may listen
     on it meanwhile, as both ask for SO_REUSEADDR; other soaks pass it over."""
     while True:
-        port = next(PORTS)
+        port = next(CANDIDATE_PORTS)
         with contextlib.suppress(OSError):
             with socket.socket() as probe:
                 probe.bind(("127.0.0.1", port))  # fails where another one is bound, reserved or not
-            reserved = socket.socket()
-            reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            reserved.bind(("127.0.0.1", port))
-            return reserved
+            reserved_socket = socket.socket()
+            reserved_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            reserved_socket.bind(("127.0.0.1", port))
+            return reserved_socket
 
 
 class SoakGateway:
@@ -50,121 +52,126 @@
     def __init__(
         self,
         index: int,
-        gateways: int,
-        folder: Path,
+        gateway_count: int,
+        directory: Path,
         shim: Path,
-        agent: Agent,
-        record: Record,
-        broken: str | None = None,
+        agent: DiscoveryAgent,
+        record: SoakRecord,
+        sabotage: str | None = None,
     ) -> None:
-        self.index, self.gateways, self.agent, self.record = index, gateways, agent, record
-        self.folder = folder / f"gateway-{index}"
-        self.folder.mkdir()
-        self.faults = Faults(shim, self.folder / "faults")
-        self.reserved = reserve_port()
-        self.port = self.reserved.getsockname()[1]
-        self.command = run_command() if broken is None else [sys.executable, "-m", SABOTAGE, broken]
-        self.lives = 0
-        self.address = 0  # which of the two addresses of discovery and counter it is told
+        self.index, self.gateway_count, self.agent, self.record = index, gateway_count, agent, record
+        self.directory = directory / f"gateway-{index}"
+        self.directory.mkdir()
+        self.fault_injector = FaultInjector(shim, self.directory / "faults")
+        self.reserved_socket = reserve_port()
+        self.port = self.reserved_socket.getsockname()[1]
+        self.command = (
+            run_command() if sabotage is None else [sys.executable, "-m", SABOTAGE_MODULE, sabotage]
+        )
+        self.run_number = 0
+        self.address_index = 0  # which of the two addresses of discovery and counter it is told
         self.process: asyncio.subprocess.Process | None = None
-        self.life: Life
+        self.process_run: ProcessRun
         self.ready = False
-        self.changing = False  # one trouble is just ending it and starting it again
+        self.restarting = False  # one trouble is just ending it and starting it again
 
-    def configuration(self, counter: SoakCounter, listed: SoakList) -> dict[str, Any]:
+    def build_configuration(self, counter: SoakCounter, server_list: SoakServerList) -> dict[str, Any]:
         """What it is told at its start."""
-        servers = list(listed.entries.values())
+        servers = list(server_list.entries.values())
         return {
             "name": f"gateway-{self.index}",
             "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{self.agent.links[self.address].port}",
-            "counter": f"127.0.0.1:{counter.links[self.address].port}",
-            "seed": f"{self.index * 1000 + self.lives:x}",
-            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": SOCKETS},
-            "known": {"version": listed.version, "full": True, "servers": servers},
-            "settings": settings_tree(self.gateways, self.index),
+            "discovery": f"127.0.0.1:{self.agent.proxies[self.address_index].port}",
+            "counter": f"127.0.0.1:{counter.proxies[self.address_index].port}",
+            "seed": f"{self.index * 1000 + self.run_number:x}",
+            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": MAX_DESCRIPTORS},
+            "known": {"version": server_list.version, "full": True, "servers": servers},
+            "settings": settings_tree(self.gateway_count, self.index),
         }
 
-    def write_configuration(self, counter: SoakCounter, listed: SoakList) -> None:
+    def write_configuration(self, counter: SoakCounter, server_list: SoakServerList) -> None:
         """Replaces the file."""
-        (self.folder / "next.json").write_text(json.dumps(self.configuration(counter, listed)))
-        (self.folder / "next.json").rename(self.folder / "config.json")
+        (self.directory / "next.json").write_text(json.dumps(self.build_configuration(counter, server_list)))
+        (self.directory / "next.json").rename(self.directory / "config.json")
 
-    async def start(self, counter: SoakCounter, listed: SoakList) -> None:
+    async def start(self, counter: SoakCounter, server_list: SoakServerList) -> None:
         """Starts a process and waits until it is ready; notes it where it is not."""
-        self.lives += 1
+        self.run_number += 1
         self.process = None
-        self.write_configuration(counter, listed)
-        environment = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
-        environment |= {"RELAY_CONFIG": str(self.folder / "config.json"), **self.faults.environment}
-        self.life = Life(self.index, self.lives, time.monotonic())
-        self.record.lives.append(self.life)
-        with (self.folder / f"log-{self.lives}").open("wb") as log:
+        self.write_configuration(counter, server_list)
+        environment = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
+        environment |= {
+            "RELAY_CONFIG": str(self.directory / "config.json"),
+            **self.fault_injector.environment,
+        }
+        self.process_run = ProcessRun(self.index, self.run_number, time.monotonic())
+        self.record.process_runs.append(self.process_run)
+        with (self.directory / f"log-{self.run_number}").open("wb") as log:
             self.process = await asyncio.create_subprocess_exec(
                 *self.command, cwd=ROOT, env=environment, stdout=log, stderr=log
             )
-        process, life = self.process, self.life
-        while time.monotonic() - life.started_at < READY_WITHIN and process.returncode is None:
-            if await answers_ping(self.port, PING_WITHIN):
-                life.ready_at = time.monotonic()
+        process, process_run = self.process, self.process_run
+        while time.monotonic() - process_run.started_at < READY_WITHIN and process.returncode is None:
+            if await answers_ping(self.port, PING_TIMEOUT):
+                process_run.ready_at = time.monotonic()
                 self.ready = True
                 return
-            await asyncio.sleep(READY_LOOK)
+            await asyncio.sleep(READY_POLL_INTERVAL)
 
-    def signal(self, number: signal.Signals) -> None:
+    def signal(self, signal_number: signal.Signals) -> None:
         """Sends a signal to the process that is running."""
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(number)
+                self.process.send_signal(signal_number)
 
     async def terminate(self) -> None:
         """A planned end: SIGTERM, and SIGKILL once that is due. The front hears of it a moment later."""
-        life, process = self.life, self.process
+        process_run, process = self.process_run, self.process
         assert process is not None
-        life.told_at = time.monotonic()
+        process_run.sigterm_at = time.monotonic()
         self.signal(signal.SIGTERM)
-        asyncio.get_running_loop().call_later(0.3, self.not_ready, life)
+        asyncio.get_running_loop().call_later(0.3, self.mark_not_ready, process_run)
         try:
             async with asyncio.timeout(KILL_AFTER):
                 await process.wait()
         except TimeoutError:
-            life.killed_at = time.monotonic()
+            process_run.sigkill_at = time.monotonic()
             self.signal(signal.SIGKILL)
             await process.wait()
-        self.note_end(life, process)
+        self.record_exit(process_run, process)
 
     async def kill(self) -> None:
         """An end without a word."""
-        life, process = self.life, self.process
+        process_run, process = self.process_run, self.process
         assert process is not None
-        life.killed_at = time.monotonic()
+        process_run.sigkill_at = time.monotonic()
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
-        asyncio.get_running_loop().call_later(FRONT_NOTICES, self.not_ready, life)
+        asyncio.get_running_loop().call_later(FAILURE_DETECTION_DELAY, self.mark_not_ready, process_run)
         await process.wait()
-        self.note_end(life, process)
+        self.record_exit(process_run, process)
 
-    def not_ready(self, life: Life) -> None:
+    def mark_not_ready(self, process_run: ProcessRun) -> None:
         """The front knows that this process takes nothing any more."""
-        if self.life is life:
+        if self.process_run is process_run:
             self.ready = False
 
-    def note_end(self, life: Life, process: asyncio.subprocess.Process) -> None:
+    def record_exit(self, process_run: ProcessRun, process: asyncio.subprocess.Process) -> None:
         """Notes how a process ended."""
-        self.not_ready(life)
-        life.ended_at, life.code = time.monotonic(), process.returncode
-        log = self.folder / f"log-{life.number}"
-        life.log = log.read_bytes()[-LOG_TAIL:].decode("utf-8", "replace")
+        self.mark_not_ready(process_run)
+        process_run.ended_at, process_run.exit_code = time.monotonic(), process.returncode
+        log = self.directory / f"log-{process_run.number}"
+        process_run.log_tail = log.read_bytes()[-LOG_TAIL_BYTES:].decode("utf-8", "replace")
 
     def sample(self) -> None:
         """Notes its memory and descriptors; and an end that nobody asked for."""
-        process, life = self.process, self.life
-        if process is None or life.ended_at is not None:
+        process, process_run = self.process, self.process_run
+        if process is None or process_run.ended_at is not None:
             return
         if process.returncode is not None:
-            if life.told_at is None and life.killed_at is None:
-                self.note_end(life, process)
+            if process_run.sigterm_at is None and process_run.sigkill_at is None:
+                self.record_exit(process_run, process)
             return
         with contextlib.suppress(ProcessError, OSError):
-            life.resident_kb.append((time.monotonic(), usage(process.pid).resident))
-            life.descriptors.append(len(os.listdir(f"/proc/{process.pid}/fd")))
+            process_run.resident_kb.append((time.monotonic(), usage(process.pid).resident))
+            process_run.descriptor_counts.append(len(os.listdir(f"/proc/{process.pid}/fd")))
--- a/emulator/soak/proxy.py
+++ b/emulator/soak/proxy.py
@@ -10,67 +10,67 @@
 from enum import Enum
 
 BACKLOG = 256
-FILLERS = 4  # connections that fill the queue of a listener whose connections come up late
-PIECE = 7  # bytes at a time where messages come in pieces
-PIECE_EVERY = 0.002  # seconds between pieces
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
+FILLER_CONNECTIONS = 4  # connections that fill the queue of a listener whose connections come up late
+FRAGMENT_BYTES = 7  # bytes at a time where messages come in pieces
+FRAGMENT_INTERVAL = 0.002  # seconds between pieces
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
 
 
-class Fault(Enum):
+class ProxyFault(Enum):
     """What a link does to its connections."""
 
     NONE = "none"
-    LATE = "late"  # new connections come up a second or more late
-    CUT = "cut"  # nothing passes, new ones never come up; open ones stay open and silent
+    DELAYED = "late"  # new connections come up a second or more late
+    PARTITIONED = "cut"  # nothing passes, new ones never come up; open ones stay open and silent
     RESET = "reset"  # each connection is reset as soon as bytes pass towards the server
-    HALF = "half"  # half of an answer passes, then the connection is reset
+    TRUNCATED = "half"  # half of an answer passes, then the connection is reset
     STALLED = "stalled"  # requests pass, answers do not
-    PIECES = "pieces"  # bytes pass a few at a time
+    FRAGMENTED = "pieces"  # bytes pass a few at a time
     REFUSED = "refused"  # new connections are closed at once
 
 
-class Side(asyncio.Protocol):
+class ProxyEndpoint(asyncio.Protocol):
     """One end of a connection through the proxy."""
 
-    def __init__(self, link: Link, answers: bool) -> None:
-        self.link, self.answers = link, answers
-        self.other: Side | None = None
+    def __init__(self, proxy: FaultProxy, is_target_side: bool) -> None:
+        self.proxy, self.is_target_side = proxy, is_target_side
+        self.peer: ProxyEndpoint | None = None
         self.transport: asyncio.Transport | None = None
-        self.waiting: list[bytes] = []
-        self.ended = False
+        self.pending_data: list[bytes] = []
+        self.close_requested = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        waiting, self.waiting = self.waiting, []
-        for data in waiting:
+        pending_data, self.pending_data = self.pending_data, []
+        for data in pending_data:
             self.transport.write(data)
-        if self.ended:
+        if self.close_requested:
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        self.link.passed(self, data)
+        self.proxy.forward(self, data)
 
     def send(self, data: bytes) -> None:
         """Writes to this end, or keeps it until there is one."""
         if self.transport is None:
-            self.waiting.append(data)
+            self.pending_data.append(data)
         elif not self.transport.is_closing():
             self.transport.write(data)
 
     def eof_received(self) -> None:
-        if self.other is not None and self.link.fault is not Fault.CUT:
-            self.other.finish()
+        if self.peer is not None and self.proxy.fault is not ProxyFault.PARTITIONED:
+            self.peer.close_after_flush()
 
-    def finish(self) -> None:
+    def close_after_flush(self) -> None:
         """Ends this end after what was written to it."""
-        self.ended = True
+        self.close_requested = True
         if self.transport is not None and not self.transport.is_closing():
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.link.sides.discard(self)
-        if self.other is not None and self.link.fault is not Fault.CUT:
-            self.other.finish()
+        self.proxy.endpoints.discard(self)
+        if self.peer is not None and self.proxy.fault is not ProxyFault.PARTITIONED:
+            self.peer.close_after_flush()
 
     def reset(self) -> None:
         """Resets this end."""
@@ -78,17 +78,17 @@
             return
         sock = self.transport.get_extra_info("socket")
         with contextlib.suppress(OSError):
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.transport.abort()
 
 
-class Link:
+class FaultProxy:
     """Passes connections from a port of its own on to a target port."""
 
     def __init__(self, target: int, generator: random.Random) -> None:
         self.target, self.generator = target, generator
-        self.fault = Fault.NONE
-        self.sides: set[Side] = set()
+        self.fault = ProxyFault.NONE
+        self.endpoints: set[ProxyEndpoint] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.fillers: list[socket.socket] = []
         self.listener = socket.socket()
@@ -98,96 +98,101 @@
         self.listener.listen(BACKLOG)
         self.port = self.listener.getsockname()[1]
         self.loop = asyncio.get_running_loop()
-        self.loop.add_reader(self.listener, self.accept)
+        self.loop.add_reader(self.listener, self.accept_connection)
         self.accepting = True
 
-    def set(self, fault: Fault) -> None:
+    def set_fault(self, fault: ProxyFault) -> None:
         """From now on this fault is in force."""
         self.fault = fault
-        self.saturate(fault in (Fault.LATE, Fault.CUT))
-        if fault is Fault.NONE:
-            for side in list(self.sides):  # what was silent is reset once it is back
-                if side.answers and getattr(side, "silent", False):
-                    side.reset()
+        self.saturate_backlog(fault in (ProxyFault.DELAYED, ProxyFault.PARTITIONED))
+        if fault is ProxyFault.NONE:
+            for endpoint in list(self.endpoints):  # what was silent is reset once it is back
+                if endpoint.is_target_side and getattr(endpoint, "has_dropped_data", False):
+                    endpoint.reset()
 
-    def reset_all(self) -> None:
+    def reset_connections(self) -> None:
         """Resets all open connections."""
-        for side in list(self.sides):
-            side.reset()
+        for endpoint in list(self.endpoints):
+            endpoint.reset()
 
-    def accept(self) -> None:
+    def accept_connection(self) -> None:
         """Takes the next connection."""
         try:
-            accepted, _ = self.listener.accept()
+            client_socket, _ = self.listener.accept()
         except OSError:
             return
-        if self.fault is Fault.REFUSED:
-            accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            accepted.close()
+        if self.fault is ProxyFault.REFUSED:
+            client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            client_socket.close()
             return
-        task = self.loop.create_task(self.join(accepted))
+        task = self.loop.create_task(self.connect_to_target(client_socket))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def join(self, accepted: socket.socket) -> None:
+    async def connect_to_target(self, client_socket: socket.socket) -> None:
         """Joins a connection with one to the target."""
-        near, far = Side(self, answers=False), Side(self, answers=True)
-        near.other, far.other = far, near
-        self.sides |= {near, far}
-        await self.loop.connect_accepted_socket(lambda: near, accepted)
+        client_endpoint, target_endpoint = (
+            ProxyEndpoint(self, is_target_side=False),
+            ProxyEndpoint(self, is_target_side=True),
+        )
+        client_endpoint.peer, target_endpoint.peer = target_endpoint, client_endpoint
+        self.endpoints |= {client_endpoint, target_endpoint}
+        await self.loop.connect_accepted_socket(lambda: client_endpoint, client_socket)
         try:
-            await self.loop.create_connection(lambda: far, "127.0.0.1", self.target)
+            await self.loop.create_connection(lambda: target_endpoint, "127.0.0.1", self.target)
         except OSError:
-            near.reset()
+            client_endpoint.reset()
 
-    def passed(self, side: Side, data: bytes) -> None:
+    def forward(self, endpoint: ProxyEndpoint, data: bytes) -> None:
         """Bytes came in at one end."""
-        other = side.other
-        assert other is not None
-        if self.fault is Fault.CUT or (self.fault is Fault.STALLED and side.answers):
-            side.silent = other.silent = True  # type: ignore[attr-defined]
-        elif self.fault is Fault.RESET and not side.answers:
-            side.reset()
-            other.reset()
-        elif self.fault is Fault.HALF and side.answers:
-            other.send(data[: len(data) // 2])
-            other.finish()
-            side.reset()
-        elif self.fault is Fault.PIECES:
-            task = self.loop.create_task(self.in_pieces(other, data))
+        peer = endpoint.peer
+        assert peer is not None
+        if self.fault is ProxyFault.PARTITIONED or (
+            self.fault is ProxyFault.STALLED and endpoint.is_target_side
+        ):
+            endpoint.has_dropped_data = peer.has_dropped_data = True  # type: ignore[attr-defined]
+        elif self.fault is ProxyFault.RESET and not endpoint.is_target_side:
+            endpoint.reset()
+            peer.reset()
+        elif self.fault is ProxyFault.TRUNCATED and endpoint.is_target_side:
+            peer.send(data[: len(data) // 2])
+            peer.close_after_flush()
+            endpoint.reset()
+        elif self.fault is ProxyFault.FRAGMENTED:
+            task = self.loop.create_task(self.send_fragmented(peer, data))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         else:
-            other.send(data)
+            peer.send(data)
 
-    async def in_pieces(self, other: Side, data: bytes) -> None:
+    async def send_fragmented(self, peer: ProxyEndpoint, data: bytes) -> None:
         """Passes bytes a few at a time, in their order."""
-        before = getattr(other, "pieces", None)
+        previous = getattr(peer, "fragments_sent", None)
         done = self.loop.create_future()
-        other.pieces = done  # type: ignore[attr-defined]
-        if before is not None:
-            await before
-        for start in range(0, len(data), PIECE):
-            other.send(data[start : start + PIECE])
-            await asyncio.sleep(PIECE_EVERY)
+        peer.fragments_sent = done  # type: ignore[attr-defined]
+        if previous is not None:
+            await previous
+        for start in range(0, len(data), FRAGMENT_BYTES):
+            peer.send(data[start : start + FRAGMENT_BYTES])
+            await asyncio.sleep(FRAGMENT_INTERVAL)
         done.set_result(None)
 
-    def saturate(self, on: bool) -> None:
+    def saturate_backlog(self, enabled: bool) -> None:
         """Fills the listener's queue, so that a connection comes up only once the system tries again."""
-        if on and not self.fillers:
+        if enabled and not self.fillers:
             self.loop.remove_reader(self.listener)
             self.listener.listen(0)
-            for _ in range(FILLERS):
+            for _ in range(FILLER_CONNECTIONS):
                 filler = socket.socket()
                 filler.setblocking(False)
                 filler.connect_ex(("127.0.0.1", self.port))
                 self.fillers.append(filler)
-        elif not on and self.fillers:
+        elif not enabled and self.fillers:
             for filler in self.fillers:
                 filler.close()
             self.fillers = []
             self.listener.listen(BACKLOG)
-            self.loop.add_reader(self.listener, self.accept)
+            self.loop.add_reader(self.listener, self.accept_connection)
 
     def close(self) -> None:
         """Ends it."""
@@ -195,7 +200,7 @@
             filler.close()
         self.loop.remove_reader(self.listener)
         self.listener.close()
-        for side in list(self.sides):
-            side.reset()
+        for endpoint in list(self.endpoints):
+            endpoint.reset()
         for task in self.tasks:
             task.cancel()
--- a/emulator/soak/record.py
+++ b/emulator/soak/record.py
@@ -1,4 +1,7 @@
-"""What was seen from outside during a soak. Times are seconds on the monotonic clock of this machine."""
+"""Observations made during a soak from outside the gateways.
+
+All times are seconds on the monotonic clock of this machine.
+"""
 
 from __future__ import annotations
 
@@ -7,125 +10,136 @@
 
 
 class Effect(Enum):
-    """What a class allows about repeats."""
+    """Whether requests of a service class may be retried."""
 
     SAFE = "safe"
     KEYED = "keyed"
     UNSAFE = "unsafe"
 
 
-class Ending(Enum):
-    """How a request ended, as its client saw it."""
+class RequestOutcome(Enum):
+    """The result of a request as its client observed it; the values are keys of the soak's report."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    CLOSED = "closed"  # the connection ended without an answer
-    NONE = "none"  # nothing came in time
-    LEFT = "left"  # the client did not wait for it
+    CONNECTION_CLOSED = "closed"  # the connection ended without a response
+    NO_RESPONSE = "none"  # no response arrived in time
+    CLIENT_LEFT = "left"  # the client disconnected before the response
 
 
 @dataclass(slots=True)
-class Asked:
-    """One request.
+class RequestRecord:
+    """One request that a client sent.
 
     Attributes:
-        deadline: seconds for which its client waits, from `at` on.
-        closed_at: when the client closed or ended its sending, if it did.
-        answers: how many came; a second one is a fault.
+        run_number: the number of the gateway's process run that received the request.
+        timeout: seconds that the client waits for a response, counted from `sent_at`.
+        client_closed_at: when the client closed the connection or its sending side, if it did.
+        response_count: number of responses received; more than one violates an invariant.
     """
 
     id: str
     gateway: int
-    life: int  # of the gateway: which of its processes
+    run_number: int
     connection: int
     effect: Effect
-    customer: str
-    deadline: float
-    at: float
-    closed_at: float | None = None
+    tenant: str
+    timeout: float
+    sent_at: float
+    client_closed_at: float | None = None
     ended_at: float = 0.0
-    ending: Ending = Ending.NONE
-    answer: bytes = b""
-    answers: int = 0
+    outcome: RequestOutcome = RequestOutcome.NO_RESPONSE
+    response: bytes = b""
+    response_count: int = 0
 
 
 @dataclass(slots=True)
-class Began:
-    """An attempt whose last byte came to a server; `told`: the seconds that it was told are left."""
+class AttemptRecord:
+    """An attempt that a server received.
+
+    Attributes:
+        received_at: when the last byte of the command arrived.
+        remaining_time: the deadline propagated to the server, as seconds left.
+    """
 
     id: str
     server: str
-    at: float
-    told: float
+    received_at: float
+    remaining_time: float
 
 
 @dataclass(slots=True)
-class Told:
-    """A change of a server's state was written to a gateway."""
+class StateDelivery:
+    """A change of a server's state that was written to a gateway's discovery connection."""
 
     gateway: int
-    life: int
+    run_number: int
     server: str
     state: str
-    at: float
+    delivered_at: float
 
 
 @dataclass(slots=True)
-class Changed:
-    """Discovery had a change of a server's state, whoever was told."""
+class StateChange:
+    """A change of a server's state in discovery, regardless of which gateways have received it."""
 
     server: str
     state: str
-    at: float
+    changed_at: float
 
 
 @dataclass(slots=True)
-class Started:
-    """A server started cold."""
+class ServerStart:
+    """The start of a server that is subject to slow start."""
 
     server: str
-    at: float
+    started_at: float
 
 
 @dataclass(slots=True)
 class BadClient:
-    """A client that does what no client may; `ended_at`: when it got an error or a close."""
+    """A client that violates the protocol.
+
+    Attributes:
+        kind: the kind of violation.
+        ended_at: when the client received an error or a close, if it did.
+    """
 
-    manner: str
+    kind: str
     gateway: int
-    life: int
-    at: float
+    run_number: int
+    started_at: float
     ended_at: float | None = None
 
 
 @dataclass(slots=True)
-class Life:
-    """One process of a gateway.
+class ProcessRun:
+    """One process of a gateway, from its start to its exit.
 
     Attributes:
-        told_at, killed_at: when SIGTERM and SIGKILL were sent, if they were.
-        code: with which it ended.
-        log: the end of what it wrote.
-        resident_kb, descriptors: samples over its life.
+        sigterm_at, sigkill_at: when SIGTERM and SIGKILL were sent, if they were.
+        exit_code: the exit code of the process, once it has ended.
+        log_tail: the last part of the process's log.
+        resident_kb, descriptor_counts: samples taken while the process ran.
     """
 
     gateway: int
     number: int
     started_at: float
     ready_at: float | None = None
-    told_at: float | None = None
-    killed_at: float | None = None
+    sigterm_at: float | None = None
+    sigkill_at: float | None = None
     ended_at: float | None = None
-    code: int | None = None
-    log: str = ""
+    exit_code: int | None = None
+    log_tail: str = ""
     resident_kb: list[tuple[float, int]] = field(default_factory=list)
-    descriptors: list[int] = field(default_factory=list)
+    descriptor_counts: list[int] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Trouble:
-    """A trouble as it was played."""
+class InjectedFault:
+    """A fault that was injected; the field names are keys of the soak's report."""
 
     name: str
     began: float
@@ -134,33 +148,38 @@
 
 
 @dataclass(slots=True)
-class Record:
-    """All of it."""
+class SoakRecord:
+    """All observations of one soak, which the invariant checks read.
 
-    began: float
-    asked: list[Asked] = field(default_factory=list)
-    began_at_servers: list[Began] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
-    changed: list[Changed] = field(default_factory=list)
-    started: list[Started] = field(default_factory=list)
+    Attributes:
+        malformed_commands: commands that servers could not read, as pairs of time and description.
+        scheduling_delays: delays of the event loop of the soak's own process, as pairs of time and seconds.
+    """
+
+    started_at: float
+    requests: list[RequestRecord] = field(default_factory=list)
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    state_deliveries: list[StateDelivery] = field(default_factory=list)
+    state_changes: list[StateChange] = field(default_factory=list)
+    server_starts: list[ServerStart] = field(default_factory=list)
     bad_clients: list[BadClient] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
-    troubles: list[Trouble] = field(default_factory=list)
-    unreadable: list[tuple[float, str]] = field(default_factory=list)  # commands that servers could not read
-    lags: list[tuple[float, float]] = field(default_factory=list)  # when this process was late, by how much
-    ended: float = 0.0
-
-    def attempts(self) -> dict[str, list[Began]]:
-        """The attempts of each request, in order."""
-        by_id: dict[str, list[Began]] = {}
-        for began in self.began_at_servers:
-            by_id.setdefault(began.id, []).append(began)
+    process_runs: list[ProcessRun] = field(default_factory=list)
+    faults: list[InjectedFault] = field(default_factory=list)
+    malformed_commands: list[tuple[float, str]] = field(default_factory=list)
+    scheduling_delays: list[tuple[float, float]] = field(default_factory=list)
+    ended_at: float = 0.0
+
+    def attempts_by_request(self) -> dict[str, list[AttemptRecord]]:
+        """Returns the attempts of each request id, in the order in which servers received them."""
+        by_id: dict[str, list[AttemptRecord]] = {}
+        for attempt in self.attempts:
+            by_id.setdefault(attempt.id, []).append(attempt)
         return by_id
 
-    def life(self, gateway: int, number: int) -> Life:
-        """One process of a gateway."""
-        return next(life for life in self.lives if (life.gateway, life.number) == (gateway, number))
+    def process_run(self, gateway: int, number: int) -> ProcessRun:
+        """Returns the process run of a gateway with this number."""
+        return next(run for run in self.process_runs if (run.gateway, run.number) == (gateway, number))
 
-    def late(self, begin: float, end: float) -> float:
-        """The most by which this process, which reads the clocks, was late in a span."""
-        return max((lag for at, lag in self.lags if begin <= at <= end + lag), default=0.0)
+    def max_scheduling_delay(self, begin: float, end: float) -> float:
+        """Returns the longest delay of the soak's own process, which takes all timestamps, in a time span."""
+        return max((delay for at, delay in self.scheduling_delays if begin <= at <= end + delay), default=0.0)
--- a/emulator/soak/runner.py
+++ b/emulator/soak/runner.py
@@ -14,17 +14,17 @@
 import uvloop
 
 from emulator.real.faults import build_shim
-from emulator.soak.environment import World
-from emulator.soak.faults import TROUBLES
-from emulator.soak.invariants import Violation, judge
-from emulator.soak.record import Ending, Record, Trouble
+from emulator.soak.environment import SoakEnvironment
+from emulator.soak.faults import FAULTS
+from emulator.soak.invariants import Violation, check_invariants
+from emulator.soak.record import InjectedFault, RequestOutcome, SoakRecord
 
-RATE = 14.0  # requests a second for each gateway, if nothing else is said
-SETTLE = 2.0  # seconds before the first trouble
-FEWEST, MOST = 2, 3  # troubles that overlap
-SHORTEST, LONGEST = 1.5, 5.0  # seconds of a trouble
-SPREAD = 1.5  # seconds over which those of one episode begin
-QUIET, LONG_QUIET, LONG_QUIET_CHANCE = 2.0, 12.0, 0.15  # seconds between episodes
+DEFAULT_RATE = 14.0  # requests a second for each gateway, if nothing else is said
+INITIAL_DELAY = 2.0  # seconds before the first trouble
+MIN_OVERLAP, MAX_OVERLAP = 2, 3  # troubles that overlap
+MIN_FAULT_DURATION, MAX_FAULT_DURATION = 1.5, 5.0  # seconds of a trouble
+MAX_START_DELAY = 1.5  # seconds over which those of one episode begin
+PAUSE, LONG_PAUSE, LONG_PAUSE_PROBABILITY = 2.0, 12.0, 0.15  # seconds between episodes
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,11 +43,11 @@
     seed: int = 1
     gateways: int = 24
     seconds: float = 60.0
-    rate: float = RATE
-    troubles: tuple[str, ...] = ()
+    rate: float = DEFAULT_RATE
+    faults: tuple[str, ...] = ()
     overlap: int | None = None
-    folder: Path | None = None
-    broken: tuple[str | None, ...] = ()
+    directory: Path | None = None
+    sabotage: tuple[str | None, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,19 +55,19 @@
     """What was seen and found."""
 
     options: SoakOptions
-    record: Record
+    record: SoakRecord
     violations: list[Violation]
 
     def counts(self) -> dict[str, int]:
         """Requests by how they ended, and what else was counted."""
-        endings = Counter(asked.ending.value for asked in self.record.asked)
+        outcome_counts = Counter(request.outcome.value for request in self.record.requests)
         return {
-            "requests": len(self.record.asked),
-            **{ending.value: endings[ending.value] for ending in Ending},
-            "attempts": len(self.record.began_at_servers),
+            "requests": len(self.record.requests),
+            **{outcome.value: outcome_counts[outcome.value] for outcome in RequestOutcome},
+            "attempts": len(self.record.attempts),
             "bad_clients": len(self.record.bad_clients),
-            "lives": len(self.record.lives),
-            "troubles": len(self.record.troubles),
+            "lives": len(self.record.process_runs),
+            "troubles": len(self.record.faults),
             "violations": len(self.violations),
         }
 
@@ -76,62 +76,71 @@
     """The soak cannot be played; the text says why in one line."""
 
 
-def check_troubles(names: tuple[str, ...]) -> tuple[str, ...]:
+def resolve_fault_names(names: tuple[str, ...]) -> tuple[str, ...]:
     """The names to draw from; raises SoakError for one that does not exist."""
-    unknown = [name for name in names if name not in TROUBLES]
+    unknown = [name for name in names if name not in FAULTS]
     if unknown:
-        raise SoakError(f"no trouble {unknown[0]!r}; there are {', '.join(TROUBLES)}")
-    return names or tuple(TROUBLES)
+        raise SoakError(f"no trouble {unknown[0]!r}; there are {', '.join(FAULTS)}")
+    return names or tuple(FAULTS)
 
 
-async def play_trouble(
-    world: World, name: str, generator: random.Random, after: float, seconds: float
+async def inject_fault(
+    environment: SoakEnvironment, name: str, generator: random.Random, start_delay: float, seconds: float
 ) -> None:
     """One trouble, from its beginning to its end."""
-    await asyncio.sleep(after)
+    await asyncio.sleep(start_delay)
     began = time.monotonic()
-    detail = await TROUBLES[name](world, generator, seconds)
-    world.record.troubles.append(Trouble(name, began, time.monotonic(), detail))
+    detail = await FAULTS[name](environment, generator, seconds)
+    environment.record.faults.append(InjectedFault(name, began, time.monotonic(), detail))
 
 
-async def play_episodes(world: World, options: SoakOptions, progress: Callable[[str, float], None]) -> None:
+async def inject_episodes(
+    environment: SoakEnvironment, options: SoakOptions, progress: Callable[[str, float], None]
+) -> None:
     """Episodes of troubles that overlap, until the time is over."""
-    names, generator = check_troubles(options.troubles), random.Random(options.seed)
+    names, generator = resolve_fault_names(options.faults), random.Random(options.seed)
     began = time.monotonic()
-    await asyncio.sleep(SETTLE)
-    while (spent := time.monotonic() - began) < options.seconds:
-        count = min(len(names), options.overlap or generator.randrange(FEWEST, MOST + 1))
-        chosen = generator.sample(names, count)
-        progress(" + ".join(chosen), spent / options.seconds)
+    await asyncio.sleep(INITIAL_DELAY)
+    while (elapsed := time.monotonic() - began) < options.seconds:
+        count = min(len(names), options.overlap or generator.randrange(MIN_OVERLAP, MAX_OVERLAP + 1))
+        chosen_names = generator.sample(names, count)
+        progress(" + ".join(chosen_names), elapsed / options.seconds)
         async with asyncio.TaskGroup() as group:
-            for name in chosen:
-                after, seconds = generator.random() * SPREAD, generator.uniform(SHORTEST, LONGEST)
+            for name in chosen_names:
+                start_delay, seconds = (
+                    generator.random() * MAX_START_DELAY,
+                    generator.uniform(MIN_FAULT_DURATION, MAX_FAULT_DURATION),
+                )
                 group.create_task(
-                    play_trouble(world, name, random.Random(generator.random()), after, seconds)
+                    inject_fault(environment, name, random.Random(generator.random()), start_delay, seconds)
                 )
-        long = generator.random() < LONG_QUIET_CHANCE and options.seconds > LONG_QUIET
-        await asyncio.sleep(LONG_QUIET if long else QUIET)
+        is_long_pause = generator.random() < LONG_PAUSE_PROBABILITY and options.seconds > LONG_PAUSE
+        await asyncio.sleep(LONG_PAUSE if is_long_pause else PAUSE)
 
 
-async def play_in(folder: Path, options: SoakOptions, progress: Callable[[str, float], None]) -> Record:
+async def run_in_directory(
+    directory: Path, options: SoakOptions, progress: Callable[[str, float], None]
+) -> SoakRecord:
     """Plays one soak with its files in a folder."""
-    world = World(options.gateways, options.seed, folder, build_shim(folder), options.rate, options.broken)
+    environment = SoakEnvironment(
+        options.gateways, options.seed, directory, build_shim(directory), options.rate, options.sabotage
+    )
     try:
-        await world.start()
-        await play_episodes(world, options, progress)
-        await world.finish()
+        await environment.start()
+        await inject_episodes(environment, options, progress)
+        await environment.stop()
     finally:
-        world.close()
-    return world.record
+        environment.close()
+    return environment.record
 
 
-def play(
-    options: SoakOptions, progress: Callable[[str, float], None] = lambda text, part: None
+def run_soak(
+    options: SoakOptions, progress: Callable[[str, float], None] = lambda text, share: None
 ) -> SoakResult:
     """Plays a soak and judges it; raises SoakError, or ShimError where the shim cannot be built."""
-    check_troubles(options.troubles)
+    resolve_fault_names(options.faults)
     with tempfile.TemporaryDirectory(prefix="soak-") as temporary:
-        folder = options.folder or Path(temporary)
-        folder.mkdir(parents=True, exist_ok=True)
-        record = uvloop.run(play_in(folder, options, progress))
-    return SoakResult(options, record, judge(record))
+        directory = options.directory or Path(temporary)
+        directory.mkdir(parents=True, exist_ok=True)
+        record = uvloop.run(run_in_directory(directory, options, progress))
+    return SoakResult(options, record, check_invariants(record))
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -25,40 +25,42 @@
 )
 from calicomast.net.__main__ import SighupCounter
 
-LATE = 0.4  # seconds by which an attempt is held back where its client may have left
-PAST_WINDOW = 2.3  # seconds after which a keyed request is sent again
-TWICE = 0.02  # seconds after an answer at which its request is sent again
-AFTER = 2.0  # seconds after the start at which something happens by itself
-LEAKED = 2 * 1024 * 1024  # bytes at a time
-LEAK_EVERY = 0.1  # seconds
-EVERY = 5  # of the requests one is left without an answer
+SEND_DELAY = 0.4  # seconds by which an attempt is held back where its client may have left
+RESEND_DELAY_PAST_WINDOW = 2.3  # seconds after which a keyed request is sent again
+DUPLICATE_DELAY = 0.02  # seconds after an answer at which its request is sent again
+ACTION_DELAY = 2.0  # seconds after the start at which something happens by itself
+LEAK_BYTES = 2 * 1024 * 1024  # bytes at a time
+LEAK_INTERVAL = 0.1  # seconds
+UNANSWERED_INTERVAL = 5  # of the requests one is left without an answer
 
 
-def later(seconds: float, what: Callable[..., Any], *told: Any) -> None:
+def call_later(seconds: float, action: Callable[..., Any], *arguments: Any) -> None:
     """Calls something later on the running loop."""
-    asyncio.get_running_loop().call_later(seconds, what, *told)
+    asyncio.get_running_loop().call_later(seconds, action, *arguments)
 
 
-def after_start(what: Callable[[gateway.GatewayService], None]) -> None:
+def after_start(action: Callable[[gateway.GatewayService], None]) -> None:
     """Does something once a gateway starts."""
     start = gateway.GatewayService.start
 
-    async def started(node: gateway.GatewayService) -> None:
-        await start(node)
-        what(node)
+    async def start_with_action(service: gateway.GatewayService) -> None:
+        await start(service)
+        action(service)
 
-    gateway.GatewayService.start = started  # type: ignore[method-assign]
+    gateway.GatewayService.start = start_with_action  # type: ignore[method-assign]
 
 
 def one_answer() -> None:
     """Some requests get no answer."""
-    finish, count = gateway.GatewayService.finish_request, [0]
+    finish_request, counter = gateway.GatewayService.finish_request, [0]
 
-    def silent(node: gateway.GatewayService, work: requests.ActiveRequest, answer: bytes) -> None:
-        count[0] += 1
-        finish(node, work, b"" if count[0] % EVERY == 0 else answer)
+    def finish_with_gaps(
+        service: gateway.GatewayService, request: requests.ActiveRequest, answer: bytes
+    ) -> None:
+        counter[0] += 1
+        finish_request(service, request, b"" if counter[0] % UNANSWERED_INTERVAL == 0 else answer)
 
-    gateway.GatewayService.finish_request = silent  # type: ignore[method-assign]
+    gateway.GatewayService.finish_request = finish_with_gaps  # type: ignore[method-assign]
 
 
 def right_answer() -> None:
@@ -66,78 +68,78 @@
     gateway.encode_bulk_string = lambda data: requests.encode_bulk_string(data + b"-not")  # type: ignore[assignment]
 
 
-def hold_back(seconds: float) -> None:
+def delay_attempts(seconds: float) -> None:
     """Attempts go out late, and nobody asks again whether they may."""
     send = server_connections.ServerConnections.send
 
-    def late(
+    def send_later(
         self: server_connections.ServerConnections, attempt: server_connections.Attempt, timeout: float
     ) -> None:
-        def go() -> None:
+        def send_now() -> None:
             if not attempt.result:
                 attempt.permitted = True
                 send(self, attempt, timeout)
 
-        later(seconds, go)
+        call_later(seconds, send_now)
 
-    server_connections.ServerConnections.send = late  # type: ignore[method-assign]
+    server_connections.ServerConnections.send = send_later  # type: ignore[method-assign]
 
 
-def send_again(seconds: float) -> None:
+def resend_after_response(seconds: float) -> None:
     """What was served goes to its server once more after so many seconds."""
-    done = gateway.GatewayService.attempt_done
+    original_attempt_done = gateway.GatewayService.attempt_done
 
-    def again(node: gateway.GatewayService, attempt: server_connections.Attempt) -> None:
-        work, _ = attempt.tag
-        done(node, attempt)
+    def attempt_done(service: gateway.GatewayService, attempt: server_connections.Attempt) -> None:
+        request, _ = attempt.tag
+        original_attempt_done(service, attempt)
         if attempt.result == "ok":
-            payload = work.encode_command(1.0)
-            second = server_connections.Attempt(
+            payload = request.encode_command(1.0)
+            resent = server_connections.Attempt(
                 attempt.server, lambda _: payload, lambda _: None, server_connections.PROBE_TAG
             )
-            later(seconds, node.server_connections.send, second, 1.0)
+            call_later(seconds, service.server_connections.send, resent, 1.0)
 
-    gateway.GatewayService.attempt_done = again  # type: ignore[method-assign]
+    gateway.GatewayService.attempt_done = attempt_done  # type: ignore[method-assign]
 
 
 def runs_once() -> None:
     """A request goes to a server twice, whatever its class allows."""
-    send_again(TWICE)
+    resend_after_response(DUPLICATE_DELAY)
 
 
 def repeats_in_window() -> None:
     """Repeats go out after their window."""
-    send_again(PAST_WINDOW)
+    resend_after_response(RESEND_DELAY_PAST_WINDOW)
 
 
 def nothing_after_leaving() -> None:
     """A client that left is not noticed."""
     clients.ClientConnection.peer_has_closed = lambda self: False  # type: ignore[method-assign]
     gateway.GatewayService.handle_client_gone = lambda self, slot: None  # type: ignore[method-assign]
-    hold_back(LATE)
+    delay_attempts(SEND_DELAY)
 
 
 def nothing_after_answer() -> None:
     """A request goes to a server once more after its answer."""
-    send_again(LATE)
+    resend_after_response(SEND_DELAY)
 
 
 def deadline_told() -> None:
     """Servers are told a second more than there is."""
     payload = requests.ActiveRequest.encode_command
-    requests.ActiveRequest.encode_command = lambda self, left: payload(self, left + 1.0)  # type: ignore[method-assign]
+    requests.ActiveRequest.encode_command = lambda self, remaining: payload(self, remaining + 1.0)  # type: ignore[method-assign]
 
 
 def drained_servers_rest() -> None:
     """Drains and removals are not heard."""
-    take = server_table.ServerTable.apply
+    apply = server_table.ServerTable.apply
 
-    def deaf(self: server_table.ServerTable, listing: Any) -> Any:
-        listing.entries = [entry for entry in listing.entries if entry.server.state == "up"]
-        listing.mode = "delta"
-        return take(self, listing)
+    def apply_without_drains(self: server_table.ServerTable, update: Any) -> Any:
+        update.entries = [entry for entry in update.entries if entry.server.state == "up"]
+        update.mode = "delta"
+        return apply(self, update)
 
-    server_table.ServerTable.apply = deaf  # type: ignore[method-assign]
+    server_table.ServerTable.apply = apply_without_drains  # type: ignore[method-assign]
 
 
 def changes_are_heard() -> None:
@@ -147,7 +149,7 @@
 
 def cold_servers_stand() -> None:
     """The server that started last gets all requests at once."""
-    slow_start.SlowStartAdmission.remaining = lambda *told: 1e9  # type: ignore[method-assign]
+    slow_start.SlowStartAdmission.remaining = lambda *arguments: 1e9  # type: ignore[method-assign]
     servers.LoadBalancer.best_server = (  # type: ignore[method-assign]
         lambda self, now, keys, pool, charge: max(pool, key=lambda s: s.info.started_at, default=None)
     )
@@ -156,7 +158,7 @@
 def quotas_hold() -> None:
     """No account is ever spent."""
     quota.TenantQuota.available_units = lambda self, now: 1e9  # type: ignore[method-assign]
-    quota.TenantQuota.local_allowance = lambda self, now, silent: 1e9  # type: ignore[method-assign]
+    quota.TenantQuota.local_allowance = lambda self, now, counter_unavailable: 1e9  # type: ignore[method-assign]
 
 
 def bad_clients_are_answered() -> None:
@@ -167,34 +169,36 @@
 
 def processes_live() -> None:
     """The process ends by itself."""
-    after_start(lambda node: later(AFTER, os._exit, 3))
+    after_start(lambda service: call_later(ACTION_DELAY, os._exit, 3))
 
 
 def resources_stay() -> None:
     """Memory is taken and never given back."""
-    kept: list[bytes] = []
+    leaked_blocks: list[bytes] = []
 
     def leak() -> None:
-        kept.append(os.urandom(LEAKED))
-        later(LEAK_EVERY, leak)
+        leaked_blocks.append(os.urandom(LEAK_BYTES))
+        call_later(LEAK_INTERVAL, leak)
 
-    after_start(lambda node: leak())
+    after_start(lambda service: leak())
 
 
 def own_checks_hold() -> None:
     """A run-time check finds something."""
-    found = invariants.Invariant.SECOND_ANSWER
-    after_start(lambda node: later(AFTER, invariants.MONITOR.record_violation, found, "on purpose"))
+    violation = invariants.Invariant.SECOND_ANSWER
+    after_start(
+        lambda service: call_later(ACTION_DELAY, invariants.MONITOR.record_violation, violation, "on purpose")
+    )
 
 
 def commands_are_sound() -> None:
     """Servers get what no client sent."""
-    requests.ActiveRequest.encode_command = lambda self, left: b"GET / HTTP/1.1\r\n\r\n"  # type: ignore[method-assign]
+    requests.ActiveRequest.encode_command = lambda self, remaining: b"GET / HTTP/1.1\r\n\r\n"  # type: ignore[method-assign]
 
 
-BREAKS: dict[str, Callable[[], None]] = {
-    each.__name__: each
-    for each in (
+SABOTAGES: dict[str, Callable[[], None]] = {
+    sabotage.__name__: sabotage
+    for sabotage in (
         one_answer,
         right_answer,
         runs_once,
@@ -216,5 +220,5 @@
 
 if __name__ == "__main__":
     hangups = SighupCounter()
-    BREAKS[sys.argv[1]]()
+    SABOTAGES[sys.argv[1]]()
     sys.exit(program.main(hangups))
--- a/tests/test_coverage_table.py
+++ b/tests/test_coverage_table.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from emulator.soak.invariants import JUDGES
+from emulator.soak.invariants import INVARIANT_CHECKS
 
 ROOT = Path(__file__).resolve().parent.parent
 TABLE = tomllib.loads((ROOT / "docs" / "incidents" / "coverage.toml").read_text())
-INVARIANTS = {judge.__name__ for judge in JUDGES}
+INVARIANTS = {check.__name__ for check in INVARIANT_CHECKS}
 
 
 def resolve(path):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -25,7 +25,7 @@
 )
 from test_net_process import PROGRAM
 
-from emulator.real.faults import Faults, Field, build_shim
+from emulator.real.faults import ControlField, FaultInjector, build_shim
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -39,7 +39,7 @@
     """A real gateway with the shim in it, before one stub of each kind."""
 
     def __init__(self, shim, path, settings=None):
-        self.faults, self.path, self.settings = Faults(shim, path / "faults"), path, settings
+        self.faults, self.path, self.settings = FaultInjector(shim, path / "faults"), path, settings
         self.host, self.counter, self.discovery = StubServer(), StubCounter(), StubDiscovery()
 
     async def __aenter__(self):
@@ -94,14 +94,14 @@
         writer.write(command(b"first"))
         assert await read_reply(reader) == CLIENT_REPLY  # so that this connection does not wait for accept
         for number in ACCEPT_ERRORS:
-            failed = gateway.faults[Field.ACCEPT_FAILED]
+            failed = gateway.faults[ControlField.ACCEPT_FAILED]
             gateway.faults.fail_accept(number)
             waiting = [asyncio.create_task(gateway.ask(b"w%d-%d" % (n, number))) for n in range(8)]
-            await gateway.until(Field.ACCEPT_FAILED, failed + 1)
+            await gateway.until(ControlField.ACCEPT_FAILED, failed + 1)
             for n in range(20):
                 writer.write(command(b"r%d-%d" % (n, number)))
                 assert await read_reply(reader) == CLIENT_REPLY  # while accept still fails
-            assert gateway.faults[Field.ACCEPT_FAILED] - failed < MOST_FAILED
+            assert gateway.faults[ControlField.ACCEPT_FAILED] - failed < MOST_FAILED
             gateway.faults.fail_accept(number, every=2)  # a call that follows a failed one may go well
             assert await asyncio.gather(*waiting) == [CLIENT_REPLY] * 8
             gateway.faults.fail_accept(0)
@@ -115,7 +115,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
         writer.write(command())
         asked = time.monotonic()
-        await gateway.until(Field.ACCEPT_FAILED, 3)
+        await gateway.until(ControlField.ACCEPT_FAILED, 3)
         await asyncio.sleep(0.5)
         waited = time.monotonic() - asked  # it cannot have been read before
         gateway.faults.fail_accept(0)
@@ -137,10 +137,10 @@
 async def test_requests_wait_while_this_machine_cannot_connect(shim, tmp_path):
     async with FaultyGateway(shim, tmp_path) as gateway:
         for number in CONNECT_ERRORS:
-            failed = gateway.faults[Field.CONNECT_FAILED]
+            failed = gateway.faults[ControlField.CONNECT_FAILED]
             gateway.faults.fail_connect(number)
             asked = [asyncio.create_task(gateway.ask(b"r%d-%d" % (n, number))) for n in range(5)]
-            await gateway.until(Field.CONNECT_FAILED, failed + 3)
+            await gateway.until(ControlField.CONNECT_FAILED, failed + 3)
             gateway.faults.fail_connect(0)
             assert await asyncio.gather(*asked) == [CLIENT_REPLY] * 5
             for writer in gateway.host.writers:  # so that the next attempts have to connect again
@@ -152,7 +152,7 @@
     gateway = FaultyGateway(shim, tmp_path)
     gateway.faults.fail_socket(errno.ENFILE)
     starting = asyncio.create_task(gateway.__aenter__())
-    await gateway.until(Field.SOCKET_FAILED, 3)
+    await gateway.until(ControlField.SOCKET_FAILED, 3)
     gateway.faults.fail_socket(0)
     await starting
     try:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from emulator.soak.invariants import JUDGES
-from emulator.soak.runner import SoakOptions, play
-from emulator.soak.sabotage import BREAKS
+from emulator.soak.invariants import INVARIANT_CHECKS
+from emulator.soak.runner import SoakOptions, run_soak
+from emulator.soak.sabotage import SABOTAGES
 
 ROOT = Path(__file__).resolve().parent.parent
 # What these break shows only where all gateways do it, or is seen at no gateway, see below.
-TOGETHER = {
+BROKEN_AT_ALL_GATEWAYS = {
     "cold_servers_stand": "drain",
     "quotas_hold": "slow-clients",
     "commands_are_sound": "slow-clients",
@@ -20,8 +20,8 @@
 
 
 def test_a_short_soak_finds_nothing():
-    troubles = ("server-resets", "drain", "reload", "leave", "accept", "watch-stalls", "restart")
-    result = play(SoakOptions(seed=3, gateways=3, seconds=6.0, troubles=troubles))
+    faults = ("server-resets", "drain", "reload", "leave", "accept", "watch-stalls", "restart")
+    result = run_soak(SoakOptions(seed=3, gateways=3, seconds=6.0, faults=faults))
     assert result.violations == []
     counts = result.counts()
     assert counts["requests"] > 200 and counts["served"] > counts["requests"] / 2
@@ -29,26 +29,28 @@
 
 
 def test_every_invariant_has_a_gateway_that_breaks_it():
-    assert set(BREAKS) == {judge.__name__ for judge in JUDGES}
+    assert set(SABOTAGES) == {check.__name__ for check in INVARIANT_CHECKS}
 
 
 def test_each_invariant_fires_at_the_gateway_that_breaks_it():
-    names = [name for name in BREAKS if name not in TOGETHER]
-    troubles = ("server-errs", "server-hangs", "drain", "leave", "bad-clients")
+    names = [name for name in SABOTAGES if name not in BROKEN_AT_ALL_GATEWAYS]
+    faults = ("server-errs", "server-hangs", "drain", "leave", "bad-clients")
     options = SoakOptions(
-        seed=1, gateways=len(names), seconds=10.0, troubles=troubles, overlap=5, broken=tuple(names)
+        seed=1, gateways=len(names), seconds=10.0, faults=faults, overlap=5, sabotage=tuple(names)
     )
-    violations = play(options).violations
+    violations = run_soak(options).violations
     for index, name in enumerate(names):
-        there = [each for each in violations if f"gateway {index}." in each.detail]
-        assert name in {each.invariant for each in there}, name
+        gateway_violations = [
+            violation for violation in violations if f"gateway {index}." in violation.detail
+        ]
+        assert name in {violation.invariant for violation in gateway_violations}, name
 
 
-@pytest.mark.parametrize("name", sorted(TOGETHER))
+@pytest.mark.parametrize("name", sorted(BROKEN_AT_ALL_GATEWAYS))
 def test_what_all_gateways_break_together_is_seen(name):
-    trouble = (TOGETHER[name],)
-    options = SoakOptions(seed=1, gateways=12, seconds=5.0, troubles=trouble, overlap=1, broken=(name,) * 12)
-    assert name in {each.invariant for each in play(options).violations}
+    faults = (BROKEN_AT_ALL_GATEWAYS[name],)
+    options = SoakOptions(seed=1, gateways=12, seconds=5.0, faults=faults, overlap=1, sabotage=(name,) * 12)
+    assert name in {violation.invariant for violation in run_soak(options).violations}
 
 
 @pytest.mark.parametrize(
