--- a/emulator/soak/__init__.py
+++ b/emulator/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: a few dozen real gateways on loopback under overlapping troubles, judged from outside."""
+"""The soak test: a few dozen real gateways on loopback with overlapping faults, checked from outside."""
--- a/emulator/soak/runner.py
+++ b/emulator/soak/runner.py
@@ -1,4 +1,4 @@
-"""Plays a soak: draws the troubles of a seed, lets them overlap, and judges what was seen."""
+"""Runs a soak: draws faults from a seed, injects them so that they overlap, and checks the invariants."""
 
 from __future__ import annotations
 
@@ -19,25 +19,29 @@
 from emulator.soak.invariants import Violation, check_invariants
 from emulator.soak.record import InjectedFault, RequestOutcome, SoakRecord
 
-DEFAULT_RATE = 14.0  # requests a second for each gateway, if nothing else is said
-INITIAL_DELAY = 2.0  # seconds before the first trouble
-MIN_OVERLAP, MAX_OVERLAP = 2, 3  # troubles that overlap
-MIN_FAULT_DURATION, MAX_FAULT_DURATION = 1.5, 5.0  # seconds of a trouble
-MAX_START_DELAY = 1.5  # seconds over which those of one episode begin
-PAUSE, LONG_PAUSE, LONG_PAUSE_PROBABILITY = 2.0, 12.0, 0.15  # seconds between episodes
+DEFAULT_RATE = 14.0  # requests per second for each gateway
+INITIAL_DELAY = 2.0  # seconds before the first fault
+MIN_OVERLAP = 2  # faults in one episode
+MAX_OVERLAP = 3  # faults in one episode
+MIN_FAULT_DURATION = 1.5  # seconds
+MAX_FAULT_DURATION = 5.0  # seconds
+MAX_START_DELAY = 1.5  # seconds over which the faults of one episode begin
+PAUSE = 2.0  # seconds between episodes
+LONG_PAUSE = 12.0  # seconds between episodes
+LONG_PAUSE_PROBABILITY = 0.15  # of a long pause after an episode
 
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """What is played.
+    """Options of one soak.
 
     Attributes:
-        seconds: for which troubles are played.
-        rate: requests a second for each gateway.
-        troubles: names to draw from; all where it is empty.
-        overlap: how many of them at once; two or three where it is None.
-        folder: where configurations and logs are kept; a temporary one where it is None.
-        broken: how each gateway is broken on purpose, see sabotage.py.
+        seconds: duration of the fault injection.
+        rate: requests per second for each gateway.
+        faults: names of the faults to draw from; all faults if empty.
+        overlap: number of faults injected at once; two or three if None.
+        directory: where configurations and logs are kept; a temporary directory if None.
+        sabotage: for each gateway the invariant that it violates on purpose, see sabotage.py.
     """
 
     seed: int = 1
@@ -52,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What was seen and found."""
+    """The observations of a soak and the violations found in them."""
 
     options: SoakOptions
     record: SoakRecord
     violations: list[Violation]
 
     def counts(self) -> dict[str, int]:
-        """Requests by how they ended, and what else was counted."""
+        """Returns the number of requests by outcome and the other counts of the soak's report."""
         outcome_counts = Counter(request.outcome.value for request in self.record.requests)
         return {
             "requests": len(self.record.requests),
@@ -73,21 +77,21 @@
 
 
 class SoakError(Exception):
-    """The soak cannot be played; the text says why in one line."""
+    """Raised for options that a soak cannot run with; the message is one line."""
 
 
 def resolve_fault_names(names: tuple[str, ...]) -> tuple[str, ...]:
-    """The names to draw from; raises SoakError for one that does not exist."""
+    """Returns the fault names to draw from, all if none are given; raises SoakError for an unknown name."""
     unknown = [name for name in names if name not in FAULTS]
     if unknown:
-        raise SoakError(f"no trouble {unknown[0]!r}; there are {', '.join(FAULTS)}")
+        raise SoakError(f"unknown fault {unknown[0]!r}; known faults: {', '.join(FAULTS)}")
     return names or tuple(FAULTS)
 
 
 async def inject_fault(
     environment: SoakEnvironment, name: str, generator: random.Random, start_delay: float, seconds: float
 ) -> None:
-    """One trouble, from its beginning to its end."""
+    """Injects one fault after a delay, waits for its end and records it."""
     await asyncio.sleep(start_delay)
     began = time.monotonic()
     detail = await FAULTS[name](environment, generator, seconds)
@@ -97,7 +101,7 @@
 async def inject_episodes(
     environment: SoakEnvironment, options: SoakOptions, progress: Callable[[str, float], None]
 ) -> None:
-    """Episodes of troubles that overlap, until the time is over."""
+    """Injects episodes of overlapping faults until the configured time is over."""
     names, generator = resolve_fault_names(options.faults), random.Random(options.seed)
     began = time.monotonic()
     await asyncio.sleep(INITIAL_DELAY)
@@ -121,7 +125,7 @@
 async def run_in_directory(
     directory: Path, options: SoakOptions, progress: Callable[[str, float], None]
 ) -> SoakRecord:
-    """Plays one soak with its files in a folder."""
+    """Runs one soak with its files in a directory and returns the observations."""
     environment = SoakEnvironment(
         options.gateways, options.seed, directory, build_shim(directory), options.rate, options.sabotage
     )
@@ -137,7 +141,11 @@
 def run_soak(
     options: SoakOptions, progress: Callable[[str, float], None] = lambda text, share: None
 ) -> SoakResult:
-    """Plays a soak and judges it; raises SoakError, or ShimError where the shim cannot be built."""
+    """Runs a soak and checks its invariants.
+
+    Raises SoakError for invalid options and ShimError if the fault shim cannot be built.
+    `progress` is called at each episode with the names of its faults and the share of time that has passed.
+    """
     resolve_fault_names(options.faults)
     with tempfile.TemporaryDirectory(prefix="soak-") as temporary:
         directory = options.directory or Path(temporary)
