--- a/emulator/soak/environment.py
+++ b/emulator/soak/environment.py
@@ -1,4 +1,4 @@
-"""Everything of one soak: gateways, servers, counter, discovery and clients."""
+"""The environment of one soak: gateways, servers, counter, discovery and clients."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 )
 
 MIN_SERVERS = 6
-TARGET_UTILIZATION = 0.35  # part of what all servers can do that is asked
-SAMPLE_INTERVAL = 0.5  # seconds
-DELAY_CHECK_INTERVAL, DELAY_THRESHOLD = 0.01, 0.02  # seconds
+TARGET_UTILIZATION = 0.35  # share of the servers' total capacity that the clients use
+SAMPLE_INTERVAL = 0.5  # seconds; gateways are sampled five times in it
+DELAY_CHECK_INTERVAL = 0.01  # seconds
+DELAY_THRESHOLD = 0.02  # seconds; shorter scheduling delays are not recorded
 
 
 class SoakEnvironment:
-    """A fleet and all that it speaks to."""
+    """The gateways of a soak and everything that they communicate with."""
 
     def __init__(
         self,
@@ -38,7 +39,14 @@
         rate: float,
         sabotage: tuple[str | None, ...] = (),
     ) -> None:
-        """`rate`: requests a second for each gateway."""
+        """Creates the parts of the environment without starting them.
+
+        Args:
+            directory: where configurations and logs of the gateways are written.
+            shim: the library that injects faults into system calls.
+            rate: requests per second for each gateway.
+            sabotage: for each gateway the invariant that it violates on purpose, see sabotage.py.
+        """
         self.generator = random.Random(seed)
         self.record = SoakRecord(time.monotonic())
         self.server_list, self.counter = SoakServerList(), SoakCounter()
@@ -55,18 +63,18 @@
             )
         self.front_end = FrontEnd([gateway.port for gateway in self.gateways], self.current_run)
         self.clients = ClientSimulator(self.front_end, self.record, self.generator)
-        self.rate = rate * gateways  # requests a second in all
+        self.rate = rate * gateways  # requests per second at all gateways together
         self.server_count = max(
             MIN_SERVERS, round(self.rate * MEAN_SERVICE_TIME / SERVER_CONCURRENCY / TARGET_UTILIZATION)
         )
         self.background_tasks: list[asyncio.Task[None]] = []
 
     def current_run(self, index: int) -> int:
-        """The number of the process of a gateway that runs now."""
+        """Returns the number of a gateway's current process run."""
         return self.gateways[index].run_number
 
     async def start(self) -> None:
-        """Starts all parties, then the gateways."""
+        """Starts the counter, servers and discovery agents, then the gateways, then the load."""
         await self.counter.start(self.generator)
         for _ in range(self.server_count):
             await self.add_server(slow_start=False)
@@ -83,7 +91,7 @@
         ]
 
     async def add_server(self, slow_start: bool) -> SoakServer:
-        """A new server, warm or just started."""
+        """Starts a server and adds it to discovery, with or without slow start."""
         name = f"s-{len(self.servers) + len(self.removed_servers):04d}"
         started = record_server_start(self.record, name) if slow_start else 0
         server = SoakServer(name, self.record, random.Random(self.generator.random()), started)
@@ -93,19 +101,19 @@
         return server
 
     def set_server_state(self, server: SoakServer, state: str) -> None:
-        """Discovery hears of it."""
+        """Changes a server's state in discovery."""
         server.state = state
         self.record.state_changes.append(StateChange(server.name, state, time.monotonic()))
         self.server_list.apply_change(server.entry())
 
     def remove_server(self, server: SoakServer) -> None:
-        """It is gone from the list; its process stays up, so that what is sent to it is seen."""
+        """Removes a server from discovery but keeps it running, so that attempts sent to it are recorded."""
         self.set_server_state(server, "removed")
         self.servers.remove(server)
         self.removed_servers.append(server)
 
     async def monitor_scheduling_delay(self) -> None:
-        """Notes when this process, whose clock everything is judged by, was late itself."""
+        """Records scheduling delays of this process, because they distort the timestamps that it takes."""
         while True:
             expected_at = time.monotonic() + DELAY_CHECK_INTERVAL
             await asyncio.sleep(DELAY_CHECK_INTERVAL)
@@ -113,7 +121,7 @@
                 self.record.scheduling_delays.append((time.monotonic(), delay))
 
     async def monitor_gateways(self) -> None:
-        """Keeps the front's knowledge and samples of the processes."""
+        """Updates the front end's view of ready gateways and samples the resource use of their processes."""
         while True:
             self.front_end.ready = [gateway.ready for gateway in self.gateways]
             for gateway in self.gateways:
@@ -121,7 +129,7 @@
             await asyncio.sleep(SAMPLE_INTERVAL / 5)
 
     async def stop(self) -> None:
-        """Lets requests end, then ends the gateways and everything else."""
+        """Waits for pending requests, then removes all system call faults and terminates the gateways."""
         await self.clients.stop()
         for gateway in self.gateways:
             gateway.fault_injector.clear()
@@ -131,7 +139,7 @@
         self.record.ended_at = time.monotonic()
 
     def close(self) -> None:
-        """Ends whatever is left."""
+        """Kills gateways that are still running and closes everything else."""
         for task in self.background_tasks:
             task.cancel()
         for gateway in self.gateways:
