--- a/emulator/soak/gateways.py
+++ b/emulator/soak/gateways.py
@@ -1,4 +1,4 @@
-"""The gateways of a soak: real processes with the shim in them, and what they were told and did."""
+"""The gateways of a soak: real processes with the fault shim preloaded, and records of their runs."""
 
 from __future__ import annotations
 
@@ -21,25 +21,26 @@
 from emulator.soak.record import ProcessRun, SoakRecord
 from emulator.soak.standins import DiscoveryAgent, SoakCounter, SoakServerList
 
-READY_POLL_INTERVAL = 0.02  # seconds between looks whether a gateway is ready
-PING_TIMEOUT = 1.0
-FAILURE_DETECTION_DELAY = 0.5  # seconds after which the front knows that a gateway has died
-KILL_AFTER = min(MAX_DEADLINE, 3.0) + 0.7  # seconds from SIGTERM to SIGKILL at the earliest
-LOG_TAIL_BYTES = 20_000  # bytes
-CANDIDATE_PORTS = itertools.cycle(
-    range(12_000 + os.getpid() % 1000 * 16, 30_000)
-)  # below those that the system picks
+READY_POLL_INTERVAL = 0.02  # seconds between checks whether a gateway is ready
+PING_TIMEOUT = 1.0  # seconds
+FAILURE_DETECTION_DELAY = 0.5  # seconds until the front end detects that a gateway has died
+KILL_AFTER = min(MAX_DEADLINE, 3.0) + 0.7  # earliest SIGKILL, in seconds after SIGTERM
+LOG_TAIL_BYTES = 20_000
+# Ports below the ephemeral range; the process id separates soaks that run at the same time.
+CANDIDATE_PORTS = itertools.cycle(range(12_000 + os.getpid() % 1000 * 16, 30_000))
 SABOTAGE_MODULE = "emulator.soak.sabotage"
 
 
 def reserve_port() -> socket.socket:
-    """A socket bound to a port that nobody else is bound to, nor the system hands out. A gateway may listen
-    on it meanwhile, as both ask for SO_REUSEADDR; other soaks pass it over."""
+    """Binds a socket to a free port outside the ephemeral range, which keeps other soaks from using the port.
+
+    A gateway can still listen on the port, because both sockets set SO_REUSEADDR.
+    """
     while True:
         port = next(CANDIDATE_PORTS)
         with contextlib.suppress(OSError):
             with socket.socket() as probe:
-                probe.bind(("127.0.0.1", port))  # fails where another one is bound, reserved or not
+                probe.bind(("127.0.0.1", port))  # fails if any other socket is bound to the port
             reserved_socket = socket.socket()
             reserved_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             reserved_socket.bind(("127.0.0.1", port))
@@ -47,7 +48,7 @@
 
 
 class SoakGateway:
-    """One gateway through all its lives. `broken`: how it is broken on purpose, see sabotage.py."""
+    """One gateway through all its process runs."""
 
     def __init__(
         self,
@@ -59,6 +60,11 @@
         record: SoakRecord,
         sabotage: str | None = None,
     ) -> None:
+        """Reserves a port and creates the gateway's directory.
+
+        Args:
+            sabotage: the invariant that the gateway violates on purpose, see sabotage.py.
+        """
         self.index, self.gateway_count, self.agent, self.record = index, gateway_count, agent, record
         self.directory = directory / f"gateway-{index}"
         self.directory.mkdir()
@@ -69,14 +75,14 @@
             run_command() if sabotage is None else [sys.executable, "-m", SABOTAGE_MODULE, sabotage]
         )
         self.run_number = 0
-        self.address_index = 0  # which of the two addresses of discovery and counter it is told
+        self.address_index = 0  # which of the two addresses of discovery and the counter is configured
         self.process: asyncio.subprocess.Process | None = None
         self.process_run: ProcessRun
         self.ready = False
-        self.restarting = False  # one trouble is just ending it and starting it again
+        self.restarting = False  # a fault is stopping and starting it
 
     def build_configuration(self, counter: SoakCounter, server_list: SoakServerList) -> dict[str, Any]:
-        """What it is told at its start."""
+        """Returns the content of the configuration file."""
         servers = list(server_list.entries.values())
         return {
             "name": f"gateway-{self.index}",
@@ -90,12 +96,15 @@
         }
 
     def write_configuration(self, counter: SoakCounter, server_list: SoakServerList) -> None:
-        """Replaces the file."""
+        """Replaces the configuration file atomically."""
         (self.directory / "next.json").write_text(json.dumps(self.build_configuration(counter, server_list)))
         (self.directory / "next.json").rename(self.directory / "config.json")
 
     async def start(self, counter: SoakCounter, server_list: SoakServerList) -> None:
-        """Starts a process and waits until it is ready; notes it where it is not."""
+        """Starts a process and waits until it is ready or has ended, at most READY_WITHIN seconds.
+
+        A process that did not become ready keeps `ready_at` None in its record.
+        """
         self.run_number += 1
         self.process = None
         self.write_configuration(counter, server_list)
@@ -119,13 +128,16 @@
             await asyncio.sleep(READY_POLL_INTERVAL)
 
     def signal(self, signal_number: signal.Signals) -> None:
-        """Sends a signal to the process that is running."""
+        """Sends a signal to the process if it is running."""
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(signal_number)
 
     async def terminate(self) -> None:
-        """A planned end: SIGTERM, and SIGKILL once that is due. The front hears of it a moment later."""
+        """Stops the process with SIGTERM, and with SIGKILL after KILL_AFTER seconds.
+
+        The front end stops using the gateway 0.3 s after SIGTERM.
+        """
         process_run, process = self.process_run, self.process
         assert process is not None
         process_run.sigterm_at = time.monotonic()
@@ -141,7 +153,7 @@
         self.record_exit(process_run, process)
 
     async def kill(self) -> None:
-        """An end without a word."""
+        """Kills the process without a warning; the front end detects it after FAILURE_DETECTION_DELAY."""
         process_run, process = self.process_run, self.process
         assert process is not None
         process_run.sigkill_at = time.monotonic()
@@ -152,19 +164,19 @@
         self.record_exit(process_run, process)
 
     def mark_not_ready(self, process_run: ProcessRun) -> None:
-        """The front knows that this process takes nothing any more."""
+        """Marks the gateway as not ready for the front end, unless a newer process run has begun."""
         if self.process_run is process_run:
             self.ready = False
 
     def record_exit(self, process_run: ProcessRun, process: asyncio.subprocess.Process) -> None:
-        """Notes how a process ended."""
+        """Records the exit time, exit code and log of a process that has ended."""
         self.mark_not_ready(process_run)
         process_run.ended_at, process_run.exit_code = time.monotonic(), process.returncode
         log = self.directory / f"log-{process_run.number}"
         process_run.log_tail = log.read_bytes()[-LOG_TAIL_BYTES:].decode("utf-8", "replace")
 
     def sample(self) -> None:
-        """Notes its memory and descriptors; and an end that nobody asked for."""
+        """Samples the memory and descriptors of the process, and records an unexpected exit."""
         process, process_run = self.process, self.process_run
         if process is None or process_run.ended_at is not None:
             return
