--- a/emulator/soak/invariants.py
+++ b/emulator/soak/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of a soak: one function each, judged from what was seen from outside alone."""
+"""The invariants of a soak, one function each. They use only observations from outside the gateways."""
 
 from __future__ import annotations
 
@@ -25,20 +25,28 @@
 )
 from emulator.soak.record import Effect, ProcessRun, RequestOutcome, RequestRecord, SoakRecord
 
-CLOCK_TOLERANCE = 0.05  # seconds that the ways to and from this process may add to a reading
-CLOSE_DETECTION_TIME = 0.1  # seconds after a client's close in which an attempt may still begin
-DEADLINE_SLACK = 0.15  # seconds by which the deadline told may be over what is left
-READ_TIMEOUT = 0.3  # seconds after which a command that was sent has been read
-MAX_QUOTA_MULTIPLE = 1.5  # of a run's quota: each gateway passes a part by itself while the counter is away
-MAX_GROWTH_KB, WARM_UP_TIME = 12_000, 5.0  # memory that may come on after so many seconds
-SMALL_BUDGET = 30  # below it a cold server's budget has the wider margin
-SPARE_DESCRIPTORS = 4
+CLOCK_TOLERANCE = 0.05  # seconds that transport to and from this process may add to a timestamp
+CLOSE_DETECTION_TIME = 0.1  # seconds after a client's close within which an attempt may still begin
+DEADLINE_SLACK = 0.15  # seconds by which a propagated deadline may exceed the remaining time
+READ_TIMEOUT = 0.3  # seconds after which a gateway must have read a command
+# Multiple of a tenant's quota over the soak. Each gateway admits a share on its own while the counter is
+# unreachable.
+MAX_QUOTA_MULTIPLE = 1.5
+MAX_GROWTH_KB = 12_000  # allowed growth of resident memory after the warm-up
+WARM_UP_TIME = 5.0  # seconds after the start of a process
+SMALL_BUDGET = 30  # attempts; slow-start budgets below it get a wider margin
+SPARE_DESCRIPTORS = 4  # descriptors that must stay free
 DISCOVERY_FAULT_PREFIXES = ("discovery-", "watch-", "reload", "restart", "kill")
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """An invariant that did not hold: when, and for which ids."""
+    """A violation of an invariant; the field names are keys of the soak's report.
+
+    Attributes:
+        at: seconds on the clock of the record.
+        detail: the ids of the request, gateway, connection or server, and what was observed.
+    """
 
     invariant: str
     at: float
@@ -46,39 +54,39 @@
 
 
 def describe_request(request: RequestRecord) -> str:
-    """The ids of a request and of the process that took it."""
+    """Returns the ids of a request, its gateway's process run and its connection; report.py parses them."""
     return (
         f"request {request.id} gateway {request.gateway}.{request.run_number} connection {request.connection}"
     )
 
 
 def tolerance(record: SoakRecord, begin: float, end: float) -> float:
-    """By how much readings of clocks in a span may be off."""
+    """Returns the seconds by which timestamps in a time span may be wrong."""
     return CLOCK_TOLERANCE + record.max_scheduling_delay(begin, end)
 
 
 def was_killed(run: ProcessRun, request: RequestRecord) -> bool:
-    """Whether a gateway's process was killed, or had ended, before a request was due."""
+    """Returns whether a process was killed without SIGTERM before the latest time for a response."""
     until = request.sent_at + request.timeout + LATE_RESPONSE_GRACE
     killed = run.sigkill_at is not None and run.sigkill_at < until
     return killed and run.sigterm_at is None
 
 
 def one_answer(record: SoakRecord) -> Iterator[Violation]:
-    """Each request that was taken gets one final answer, half a second after its time at the latest."""
+    """Each accepted request gets exactly one final response, at most 0.5 s after its deadline."""
     attempts = record.attempts_by_request()
     for request in record.requests:
         name = "one_answer"
         subject = describe_request(request)
         if request.response_count > 1:
-            yield Violation(name, request.ended_at, f"{subject}: {request.response_count} answers")
+            yield Violation(name, request.ended_at, f"{subject}: {request.response_count} responses")
         if request.client_closed_at is not None or was_killed(
             record.process_run(request.gateway, request.run_number), request
         ):
             continue
         late = request.ended_at - request.sent_at - request.timeout - LATE_RESPONSE_GRACE
         if request.outcome is RequestOutcome.NO_RESPONSE:
-            yield Violation(name, request.sent_at, f"{subject}: no answer")
+            yield Violation(name, request.sent_at, f"{subject}: no response")
         elif late > tolerance(record, request.sent_at, request.ended_at):
             yield Violation(name, request.ended_at, f"{subject}: {late:.3f} s late")
         elif request.outcome is RequestOutcome.CONNECTION_CLOSED:
@@ -87,11 +95,11 @@
             ]
             waited = request.ended_at - request.sent_at - tolerance(record, request.sent_at, request.ended_at)
             if earlier_attempts or waited > READ_TIMEOUT:
-                yield Violation(name, request.ended_at, f"{subject}: closed without an answer")
+                yield Violation(name, request.ended_at, f"{subject}: closed without a response")
 
 
 def right_answer(record: SoakRecord) -> Iterator[Violation]:
-    """What is served is what a server made for that request."""
+    """Each served response is the value that a server produced for that request."""
     for request in record.requests:
         if request.outcome is RequestOutcome.SERVED and not has_expected_value(request):
             yield Violation(
@@ -100,7 +108,7 @@
 
 
 def requests_by_id(record: SoakRecord) -> dict[str, RequestRecord]:
-    """The requests by id; of one that was sent again the first."""
+    """Returns the requests by id; for a request that was resent, the first one."""
     requests: dict[str, RequestRecord] = {}
     for request in record.requests:
         requests.setdefault(request.id, request)
@@ -108,13 +116,13 @@
 
 
 def runs_once(record: SoakRecord) -> Iterator[Violation]:
-    """What may not be repeated runs once."""
+    """A request of a class that must not be retried reaches at most one server once."""
     requests = requests_by_id(record)
     for request_id, attempts in record.attempts_by_request().items():
         request = requests.get(request_id)
         if request is not None and request.effect is Effect.UNSAFE and len(attempts) > 1:
             if was_killed(record.process_run(request.gateway, request.run_number), request):
-                continue  # what a killed gateway held is its client's to repeat
+                continue  # the client may resend requests of a killed gateway
             servers = ",".join(attempt.server for attempt in attempts)
             yield Violation(
                 "runs_once", attempts[1].received_at, f"{describe_request(request)} ran at {servers}"
@@ -122,7 +130,7 @@
 
 
 def repeats_in_window(record: SoakRecord) -> Iterator[Violation]:
-    """A keyed request is repeated only while servers still drop a repeat."""
+    """A keyed request is retried only within the window in which servers drop duplicates."""
     requests = requests_by_id(record)
     for request_id, attempts in record.attempts_by_request().items():
         request = requests.get(request_id)
@@ -134,12 +142,13 @@
                 yield Violation(
                     "repeats_in_window",
                     attempt.received_at,
-                    f"{describe_request(request)}: {attempt.received_at - first:.3f} s after its first",
+                    f"{describe_request(request)}: "
+                    f"{attempt.received_at - first:.3f} s after the first attempt",
                 )
 
 
 def nothing_after_leaving(record: SoakRecord) -> Iterator[Violation]:
-    """No attempt begins over 0.1 s after its client closed."""
+    """No attempt begins more than 0.1 s after the client closed its connection."""
     attempts = record.attempts_by_request()
     for request in record.requests:
         if request.client_closed_at is None:
@@ -152,12 +161,12 @@
                 yield Violation(
                     "nothing_after_leaving",
                     attempt.received_at,
-                    f"{describe_request(request)}: {after:.3f} s after its client left",
+                    f"{describe_request(request)}: {after:.3f} s after the client closed",
                 )
 
 
 def nothing_after_answer(record: SoakRecord) -> Iterator[Violation]:
-    """No attempt begins after the final answer."""
+    """No attempt begins after the final response."""
     requests = requests_by_id(record)
     send_counts = Counter(request.id for request in record.requests)
     for request_id, attempts in record.attempts_by_request().items():
@@ -172,12 +181,12 @@
                     "nothing_after_answer",
                     attempt.received_at,
                     f"{describe_request(request)}: "
-                    f"{attempt.received_at - request.ended_at:.3f} s after its answer",
+                    f"{attempt.received_at - request.ended_at:.3f} s after the response",
                 )
 
 
 def deadline_told(record: SoakRecord) -> Iterator[Violation]:
-    """A server is told at most what its client has left, with 0.15 s of slack."""
+    """The deadline propagated to a server exceeds the client's remaining time by at most 0.15 s."""
     requests, last_sent_at = (
         requests_by_id(record),
         {request.id: request.sent_at for request in record.requests},
@@ -193,12 +202,13 @@
             yield Violation(
                 "deadline_told",
                 attempt.received_at,
-                f"{describe_request(request)}: told {attempt.remaining_time:.3f} s, {remaining:.3f} s left",
+                f"{describe_request(request)}: "
+                f"propagated {attempt.remaining_time:.3f} s, {remaining:.3f} s left",
             )
 
 
 def drained_servers_rest(record: SoakRecord) -> Iterator[Violation]:
-    """Nothing is sent to a server after the grace once its gateway was told that it drains or is gone."""
+    """A gateway stops sending to a server within the drain grace after it received the drain or removal."""
     delivered_at: dict[tuple[int, int, str], float] = {}
     for delivery in sorted(record.state_deliveries, key=lambda delivery: delivery.delivered_at):
         key = (delivery.gateway, delivery.run_number, delivery.server)
@@ -217,12 +227,15 @@
             yield Violation(
                 "drained_servers_rest",
                 attempt.received_at,
-                f"{subject}: {attempt.received_at - at:.3f} s after it was told",
+                f"{subject}: {attempt.received_at - at:.3f} s after the gateway received it",
             )
 
 
 def latest_delivery(record: SoakRecord, at: float) -> float:
-    """When a change that discovery had then counts as told: 6 s after it could be reached for so long."""
+    """Returns the latest time at which a change in discovery at `at` must have reached every gateway.
+
+    That is 6 s after the change. A fault that makes discovery or a gateway unavailable restarts this time.
+    """
     prefixes = DISCOVERY_FAULT_PREFIXES
     for fault in sorted(record.faults, key=lambda fault: fault.began):
         if fault.name.startswith(prefixes) and fault.began <= at + MAX_DISCOVERY_DELAY and fault.ended > at:
@@ -231,7 +244,10 @@
 
 
 def changes_are_heard(record: SoakRecord) -> Iterator[Violation]:
-    """Nothing is sent to a server after the grace once its drain or removal counts as told to everyone."""
+    """No gateway sends to a server later than the drain grace after the latest delivery of its removal.
+
+    Unlike `drained_servers_rest` this also covers a gateway that never received the change.
+    """
     unavailable_from: dict[str, float] = {}
     for change in record.state_changes:
         if change.state == "up":
@@ -248,12 +264,12 @@
             yield Violation(
                 "changes_are_heard",
                 attempt.received_at,
-                f"{subject}: {attempt.received_at - at:.3f} s after it counts as told",
+                f"{subject}: {attempt.received_at - at:.3f} s after the latest delivery",
             )
 
 
 def cold_servers_stand(record: SoakRecord) -> Iterator[Violation]:
-    """All gateways together send a cold server no more than it bears."""
+    """All gateways together send a server in slow start no more than it can handle."""
     for start in record.server_starts:
         times = sorted(
             attempt.received_at
@@ -281,7 +297,7 @@
 
 
 def quotas_hold(record: SoakRecord) -> Iterator[Violation]:
-    """All gateways together send on little more for a customer than its quota of the run."""
+    """All gateways together forward at most 1.5 times a tenant's quota over the soak."""
     attempts, forwarded = record.attempts_by_request(), defaultdict(set)
     for request in record.requests:
         if request.id in attempts:
@@ -289,11 +305,11 @@
     quota = PLAN.burst + PLAN.rate * (record.ended_at - record.started_at)
     for tenant, ids in forwarded.items():
         if len(ids) > MAX_QUOTA_MULTIPLE * quota:
-            yield Violation("quotas_hold", record.ended_at, f"customer {tenant}: {len(ids)} for {quota:.0f}")
+            yield Violation("quotas_hold", record.ended_at, f"tenant {tenant}: {len(ids)} for {quota:.0f}")
 
 
 def bad_clients_are_answered(record: SoakRecord) -> Iterator[Violation]:
-    """A bad client gets an error or a close within 3 s."""
+    """A client that violates the protocol gets an error or a close within 3 s."""
     for bad_client in record.bad_clients:
         run = record.process_run(bad_client.gateway, bad_client.run_number)
         elapsed = (bad_client.ended_at or math.inf) - bad_client.started_at
@@ -307,26 +323,32 @@
 
 
 def processes_live(record: SoakRecord) -> Iterator[Violation]:
-    """A gateway is ready in time, ends only when told to, in time, and without an error."""
+    """A gateway becomes ready in time, ends only after SIGTERM or SIGKILL, ends in time, and exits with 0."""
     for run in record.process_runs:
         subject = f"gateway {run.gateway}.{run.number}"
         ends = [at for at in (run.sigterm_at, run.sigkill_at, run.ended_at) if at is not None]
         until = min(ends, default=record.ended_at)
         ended_by_itself = run.sigterm_at is None and run.sigkill_at is None
         if run.ready_at is None and (ended_by_itself or until - run.started_at >= READY_WITHIN):
-            yield Violation("processes_live", run.started_at, f"{subject}: never ready, code {run.exit_code}")
+            yield Violation(
+                "processes_live", run.started_at, f"{subject}: never ready, exit code {run.exit_code}"
+            )
         elif run.ended_at is not None and run.sigterm_at is None and run.sigkill_at is None:
             yield Violation(
-                "processes_live", run.ended_at, f"{subject}: ended by itself with {run.exit_code}"
+                "processes_live",
+                run.ended_at,
+                f"{subject}: ended without a signal, exit code {run.exit_code}",
             )
         elif run.sigterm_at is not None and run.sigkill_at is not None:
-            yield Violation("processes_live", run.sigkill_at, f"{subject}: still there as SIGKILL is due")
+            yield Violation(
+                "processes_live", run.sigkill_at, f"{subject}: still running when SIGKILL was due"
+            )
         elif run.sigterm_at is not None and run.exit_code not in (0, None):
-            yield Violation("processes_live", run.sigterm_at, f"{subject}: ended with {run.exit_code}")
+            yield Violation("processes_live", run.sigterm_at, f"{subject}: exit code {run.exit_code}")
 
 
 def resources_stay(record: SoakRecord) -> Iterator[Violation]:
-    """Memory does not keep growing, and descriptors stay within the limit."""
+    """Memory grows by at most 12,000 KB after the warm-up, and descriptors stay within the limit."""
     for run in record.process_runs:
         subject = f"gateway {run.gateway}.{run.number}"
         sizes = [size for at, size in run.resident_kb if at > run.started_at + WARM_UP_TIME]
@@ -339,7 +361,7 @@
 
 
 def own_checks_hold(record: SoakRecord) -> Iterator[Violation]:
-    """The gateways' own run-time checks found nothing, and no exception was logged."""
+    """The gateways' own run-time invariants recorded no violation, and no exception was logged."""
     for run in record.process_runs:
         subject = f"gateway {run.gateway}.{run.number}"
         found = re.search(r'"violations": (\{"[^}]*\})', run.log_tail)
@@ -352,7 +374,7 @@
 
 
 def commands_are_sound(record: SoakRecord) -> Iterator[Violation]:
-    """Servers get no command that no client sent in this form."""
+    """Servers receive only well-formed commands."""
     for at, detail in record.malformed_commands:
         yield Violation("commands_are_sound", at, detail)
 
@@ -380,6 +402,6 @@
 
 
 def check_invariants(record: SoakRecord) -> list[Violation]:
-    """All violations, in the order of time."""
+    """Runs all invariant checks and returns the violations, ordered by time."""
     found = [violation for check in INVARIANT_CHECKS for violation in check(record)]
     return sorted(found, key=lambda violation: violation.at)
