--- a/emulator/soak/faults.py
+++ b/emulator/soak/faults.py
@@ -1,4 +1,4 @@
-"""The troubles of a soak, each of which begins, lasts and ends by itself."""
+"""The faults of a soak. Each function injects one fault, waits for its duration and removes it."""
 
 from __future__ import annotations
 
@@ -14,25 +14,27 @@
 from emulator.soak.proxy import ProxyFault
 from emulator.soak.standins import ServerBehavior, SoakServer, record_server_start
 
-MAX_PAUSE = 0.15  # seconds for which a process may be held up
-SERVER_SHARE, GATEWAY_SHARE = 0.25, 0.35
-CLOCK_STEPS = (3600.0, -3600.0, 5.0, -5.0)  # seconds by which a wall clock is stepped
+MAX_PAUSE = 0.15  # seconds for which a process may be paused
+SERVER_SHARE = 0.25  # share of the servers that one fault affects
+GATEWAY_SHARE = 0.35  # share of the gateways that one fault affects
+CLOCK_STEPS = (3600.0, -3600.0, 5.0, -5.0)  # seconds
 ACCEPT_ERRORS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ECONNABORTED)
 CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS)
-SEND_INTERVALS = (0.04, 0.02, 0.3)  # seconds between the commands of clients that send on through a restart
-MAX_SYSTEM_CALL_FAULT_DURATION = 0.5  # seconds for which system calls fail at a time
+SEND_INTERVALS = (0.04, 0.02, 0.3)  # seconds between commands of clients that keep sending during a restart
+MAX_SYSTEM_CALL_FAULT_DURATION = 0.5  # seconds
 
+# Injects a fault for some seconds and returns which servers or gateways it affected.
 FaultScenario = Callable[[SoakEnvironment, random.Random, float], Awaitable[str]]
 
 
 def sample_servers(environment: SoakEnvironment, generator: random.Random) -> list[SoakServer]:
-    """A part of the servers that are up."""
+    """Returns a random share of the servers that are up, at least one."""
     available = [server for server in environment.servers if server.state == "up"]
     return generator.sample(available, max(1, int(SERVER_SHARE * len(available))))
 
 
 def sample_gateways(environment: SoakEnvironment, generator: random.Random) -> list[SoakGateway]:
-    """A part of the gateways that run."""
+    """Returns a random share of the gateways that are ready, at least one if any is ready."""
     running = [gateway for gateway in environment.gateways if gateway.ready]
     return generator.sample(running, min(len(running), max(1, int(GATEWAY_SHARE * len(running)))))
 
@@ -41,7 +43,7 @@
 def reserve_for_restart(
     environment: SoakEnvironment, generator: random.Random
 ) -> Iterator[list[SoakGateway]]:
-    """A part of the gateways, which no other trouble ends or starts meanwhile."""
+    """Samples gateways that no other fault stops or starts until the context ends."""
     gateways = [gateway for gateway in sample_gateways(environment, generator) if not gateway.restarting]
     for gateway in gateways:
         gateway.restarting = True
@@ -53,7 +55,7 @@
 
 
 def server_behavior_fault(behavior: ServerBehavior) -> FaultScenario:
-    """Some servers behave so for a while."""
+    """Returns a fault that changes the behavior of some servers."""
 
     async def inject(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
         servers = sample_servers(environment, generator)
@@ -69,14 +71,14 @@
 
 
 def server_proxy_fault(fault: ProxyFault) -> FaultScenario:
-    """The way to some servers has a fault for a while."""
+    """Returns a fault that affects the network connection to some servers."""
 
     async def inject(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
         servers = sample_servers(environment, generator)
         for server in servers:
             server.proxy.set_fault(fault)
             if fault in (ProxyFault.DELAYED, ProxyFault.PARTITIONED) and generator.random() < 0.5:
-                server.proxy.reset_connections()  # so that new connections are needed
+                server.proxy.reset_connections()  # forces new connections
         await asyncio.sleep(seconds)
         for server in servers:
             server.proxy.set_fault(ProxyFault.NONE)
@@ -86,7 +88,7 @@
 
 
 async def drain_servers(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """Some servers drain, are removed, and new ones start cold."""
+    """Drains and removes some servers, and adds new servers in slow start."""
     servers = sample_servers(environment, generator)
     for server in servers:
         environment.set_server_state(server, "draining")
@@ -100,7 +102,7 @@
 
 
 async def crash_servers(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """Some servers die and come back cold, at their addresses."""
+    """Crashes some servers and restarts them in slow start at the same addresses."""
     servers = sample_servers(environment, generator)
     for server in servers:
         server.proxy.set_fault(ProxyFault.REFUSED)
@@ -114,7 +116,7 @@
 
 
 def discovery_proxy_fault(fault: ProxyFault) -> FaultScenario:
-    """The way to discovery has a fault at some gateways for a while."""
+    """Returns a fault that affects the network connection between some gateways and discovery."""
 
     async def inject(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
         gateways = sample_gateways(environment, generator)
@@ -130,14 +132,14 @@
 
 
 def counter_proxy_fault(fault: ProxyFault) -> FaultScenario:
-    """The way to the counter has a fault for a while."""
+    """Returns a fault that affects the network connection to the counter."""
 
     async def inject(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
         for proxy in environment.counter.proxies:
             proxy.set_fault(fault)
         await asyncio.sleep(seconds)
         if generator.random() < 0.5:
-            environment.counter.totals.clear()  # it comes back empty
+            environment.counter.totals.clear()  # the counter lost its totals
         for proxy in environment.counter.proxies:
             proxy.set_fault(ProxyFault.NONE)
         return ""
@@ -146,7 +148,7 @@
 
 
 async def reload_gateways(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """New configurations, one soon after the other, name other addresses of discovery and counter."""
+    """Reloads some gateways one to three times with other addresses of discovery and the counter."""
     gateways = sample_gateways(environment, generator)
     for _ in range(generator.randrange(1, 4)):
         for gateway in gateways:
@@ -160,7 +162,7 @@
 async def restart_gateway(
     environment: SoakEnvironment, generator: random.Random, gateway: SoakGateway
 ) -> None:
-    """One planned restart, while some clients send on."""
+    """Restarts a gateway while some clients keep sending, sometimes with a further SIGTERM or SIGHUP."""
     for interval in SEND_INTERVALS:
         environment.clients.spawn(environment.clients.send_until_closed(gateway.index, interval))
     await asyncio.sleep(SEND_INTERVALS[0])
@@ -175,14 +177,14 @@
 
 
 async def restart_gateways(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """Planned restarts, some of them with a second SIGTERM or a SIGHUP on the way."""
+    """Restarts some gateways with SIGTERM."""
     with reserve_for_restart(environment, generator) as gateways:
         await asyncio.gather(*(restart_gateway(environment, generator, gateway) for gateway in gateways))
     return ",".join(str(gateway.index) for gateway in gateways)
 
 
 async def kill_gateways(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """Gateways are killed at once and start again."""
+    """Kills some gateways with SIGKILL at the same time and starts them again."""
     with reserve_for_restart(environment, generator) as gateways:
         await asyncio.gather(*(gateway.kill() for gateway in gateways))
         await asyncio.sleep(0.2)
@@ -193,7 +195,7 @@
 
 
 async def pause_gateways(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """Gateways are stopped for 0.15 s now and then, and some of their writes come late."""
+    """Pauses gateways repeatedly for 0.15 s with SIGSTOP and delays one in 100 of their writes."""
     gateways = sample_gateways(environment, generator)
     until = asyncio.get_running_loop().time() + seconds
     for gateway in gateways:
@@ -210,7 +212,7 @@
 
 
 async def fail_accept_calls(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """Calls of accept fail for a moment."""
+    """Makes calls of accept fail for at most 0.5 s."""
     gateways, error_number = sample_gateways(environment, generator), generator.choice(ACCEPT_ERRORS)
     for gateway in gateways:
         gateway.fault_injector.fail_accept(error_number, every=generator.choice((1, 2)))
@@ -221,13 +223,13 @@
 
 
 async def fail_connect_calls(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """Calls of connect and socket fail for a moment."""
+    """Makes calls of connect and socket fail for at most 0.5 s."""
     gateways, error_number = sample_gateways(environment, generator), generator.choice(CONNECT_ERRORS)
     for gateway in gateways:
         gateway.fault_injector.fail_connect(error_number, every=generator.choice((1, 3)))
         gateway.fault_injector.fail_socket(errno.ENFILE, every=4)
     for server in sample_servers(environment, generator):
-        server.proxy.reset_connections()  # so that connections are needed
+        server.proxy.reset_connections()  # forces new connections
     await asyncio.sleep(min(seconds, MAX_SYSTEM_CALL_FAULT_DURATION))
     for gateway in gateways:
         gateway.fault_injector.fail_connect(0)
@@ -236,7 +238,7 @@
 
 
 async def limit_transfers(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """Reads and writes move a few bytes at a time, and some end with EINTR."""
+    """Limits reads and writes to 100 or 1000 bytes and makes one call in 20 fail with EINTR."""
     gateways = sample_gateways(environment, generator)
     for gateway in gateways:
         gateway.fault_injector.limit_transfers(generator.choice((100, 1000)))
@@ -249,7 +251,7 @@
 
 
 async def step_wall_clocks(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """The wall clock of some gateways is stepped, and back later."""
+    """Steps the wall clock of some gateways and later steps it back."""
     gateways, step = sample_gateways(environment, generator), generator.choice(CLOCK_STEPS)
     for gateway in gateways:
         gateway.fault_injector.step_wall_clock(step)
@@ -260,7 +262,7 @@
 
 
 async def leave_early(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """Clients leave early, in bursts, and many commands come at once."""
+    """Makes more clients disconnect early, and sends bursts of pipelined commands."""
     previous_share, environment.clients.leave_share = environment.clients.leave_share, 0.3
     until = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < until:
@@ -273,7 +275,7 @@
 
 
 async def run_bad_clients(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """Bad clients of all kinds, and such that ask just as their connection ends."""
+    """Runs clients that violate the protocol, and clients that send while an idle connection is closed."""
     until = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < until:
         environment.clients.spawn(environment.clients.run_bad_client())
@@ -283,7 +285,7 @@
 
 
 async def run_slow_clients(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
-    """Clients write their commands in two parts."""
+    """Makes more clients write their commands in two parts."""
     previous_share, environment.clients.slow_share = environment.clients.slow_share, 0.4
     await asyncio.sleep(seconds)
     environment.clients.slow_share = previous_share
