--- a/emulator/soak/proxy.py
+++ b/emulator/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy between any two parties, with faults that are set while it runs."""
+"""A TCP proxy that injects network faults, which are set while it runs."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 import struct
 from enum import Enum
 
-BACKLOG = 256
-FILLER_CONNECTIONS = 4  # connections that fill the queue of a listener whose connections come up late
-FRAGMENT_BYTES = 7  # bytes at a time where messages come in pieces
-FRAGMENT_INTERVAL = 0.002  # seconds between pieces
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
+BACKLOG = 256  # connections
+FILLER_CONNECTIONS = 4  # connections that fill the listener's backlog to delay further ones
+FRAGMENT_BYTES = 7  # bytes per fragment of fragmented messages
+FRAGMENT_INTERVAL = 0.002  # seconds between fragments
+LINGER_RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close resets the connection
 
 
 class ProxyFault(Enum):
-    """What a link does to its connections."""
+    """The fault that a proxy injects into its connections."""
 
     NONE = "none"
-    DELAYED = "late"  # new connections come up a second or more late
-    PARTITIONED = "cut"  # nothing passes, new ones never come up; open ones stay open and silent
-    RESET = "reset"  # each connection is reset as soon as bytes pass towards the server
-    TRUNCATED = "half"  # half of an answer passes, then the connection is reset
-    STALLED = "stalled"  # requests pass, answers do not
-    FRAGMENTED = "pieces"  # bytes pass a few at a time
+    DELAYED = "delayed"  # new connections are established a second or more late
+    PARTITIONED = "partitioned"  # no bytes pass and no connection is established; open ones stay open
+    RESET = "reset"  # a connection is reset when the client sends bytes
+    TRUNCATED = "truncated"  # half of a response passes, then the connection is reset
+    STALLED = "stalled"  # requests pass, responses do not
+    FRAGMENTED = "fragmented"  # bytes pass a few at a time
     REFUSED = "refused"  # new connections are closed at once
 
 
 class ProxyEndpoint(asyncio.Protocol):
-    """One end of a connection through the proxy."""
+    """One endpoint of a proxied connection, on the side of the client or of the target."""
 
     def __init__(self, proxy: FaultProxy, is_target_side: bool) -> None:
         self.proxy, self.is_target_side = proxy, is_target_side
@@ -40,6 +40,7 @@
         self.close_requested = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Sends the buffered data, and closes the endpoint if that was requested before."""
         self.transport = transport  # type: ignore[assignment]
         pending_data, self.pending_data = self.pending_data, []
         for data in pending_data:
@@ -48,32 +49,35 @@
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
+        """Passes the received bytes to the proxy."""
         self.proxy.forward(self, data)
 
     def send(self, data: bytes) -> None:
-        """Writes to this end, or keeps it until there is one."""
+        """Writes data to this endpoint, or buffers it until the endpoint is connected."""
         if self.transport is None:
             self.pending_data.append(data)
         elif not self.transport.is_closing():
             self.transport.write(data)
 
     def eof_received(self) -> None:
+        """Closes the other endpoint, unless the network is partitioned."""
         if self.peer is not None and self.proxy.fault is not ProxyFault.PARTITIONED:
             self.peer.close_after_flush()
 
     def close_after_flush(self) -> None:
-        """Ends this end after what was written to it."""
+        """Closes this endpoint after the data written to it."""
         self.close_requested = True
         if self.transport is not None and not self.transport.is_closing():
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Closes the other endpoint, unless the network is partitioned."""
         self.proxy.endpoints.discard(self)
         if self.peer is not None and self.proxy.fault is not ProxyFault.PARTITIONED:
             self.peer.close_after_flush()
 
     def reset(self) -> None:
-        """Resets this end."""
+        """Resets the connection of this endpoint."""
         if self.transport is None or self.transport.is_closing():
             return
         sock = self.transport.get_extra_info("socket")
@@ -83,7 +87,7 @@
 
 
 class FaultProxy:
-    """Passes connections from a port of its own on to a target port."""
+    """Forwards connections from a local port to a target port, with the fault that is set."""
 
     def __init__(self, target: int, generator: random.Random) -> None:
         self.target, self.generator = target, generator
@@ -102,11 +106,11 @@
         self.accepting = True
 
     def set_fault(self, fault: ProxyFault) -> None:
-        """From now on this fault is in force."""
+        """Replaces the current fault, also for open connections."""
         self.fault = fault
         self.saturate_backlog(fault in (ProxyFault.DELAYED, ProxyFault.PARTITIONED))
         if fault is ProxyFault.NONE:
-            for endpoint in list(self.endpoints):  # what was silent is reset once it is back
+            for endpoint in list(self.endpoints):  # a connection that lost bytes cannot continue
                 if endpoint.is_target_side and getattr(endpoint, "has_dropped_data", False):
                     endpoint.reset()
 
@@ -116,7 +120,7 @@
             endpoint.reset()
 
     def accept_connection(self) -> None:
-        """Takes the next connection."""
+        """Accepts the next connection; called when the listener is readable."""
         try:
             client_socket, _ = self.listener.accept()
         except OSError:
@@ -130,7 +134,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def connect_to_target(self, client_socket: socket.socket) -> None:
-        """Joins a connection with one to the target."""
+        """Connects to the target and joins the accepted connection with it."""
         client_endpoint, target_endpoint = (
             ProxyEndpoint(self, is_target_side=False),
             ProxyEndpoint(self, is_target_side=True),
@@ -144,7 +148,7 @@
             client_endpoint.reset()
 
     def forward(self, endpoint: ProxyEndpoint, data: bytes) -> None:
-        """Bytes came in at one end."""
+        """Passes received bytes to the other endpoint, as the current fault permits."""
         peer = endpoint.peer
         assert peer is not None
         if self.fault is ProxyFault.PARTITIONED or (
@@ -166,7 +170,7 @@
             peer.send(data)
 
     async def send_fragmented(self, peer: ProxyEndpoint, data: bytes) -> None:
-        """Passes bytes a few at a time, in their order."""
+        """Sends data in small fragments, after the data that is being sent to the same endpoint."""
         previous = getattr(peer, "fragments_sent", None)
         done = self.loop.create_future()
         peer.fragments_sent = done  # type: ignore[attr-defined]
@@ -178,7 +182,7 @@
         done.set_result(None)
 
     def saturate_backlog(self, enabled: bool) -> None:
-        """Fills the listener's queue, so that a connection comes up only once the system tries again."""
+        """Fills the listener's backlog, so that a connection is established only after the kernel's retry."""
         if enabled and not self.fillers:
             self.loop.remove_reader(self.listener)
             self.listener.listen(0)
@@ -195,7 +199,7 @@
             self.loop.add_reader(self.listener, self.accept_connection)
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the listener and resets all connections."""
         for filler in self.fillers:
             filler.close()
         self.loop.remove_reader(self.listener)
--- a/emulator/soak/standins.py
+++ b/emulator/soak/standins.py
@@ -1,4 +1,4 @@
-"""The parties that the gateways speak to: font servers, the counter, discovery. Each notes what came."""
+"""Stand-ins for the servers, the counter and discovery, which record what the gateways send to them."""
 
 from __future__ import annotations
 
@@ -20,29 +20,30 @@
 from emulator.soak.record import AttemptRecord, ServerStart, SoakRecord, StateDelivery
 
 MALFORMED_RESPONSES = (b"*3\r\n$3\r\nvalue\r\n", b"\x88\xa8\r\n", b"*3\r\n$3000000000\r\n", b"$-1\r\n")
-LONG_VALUE_BYTES, LONG_VALUE_ID_SUFFIX = 40_000, "77"  # bytes; of the ids of requests whose values are long
-MALFORMATION_PROBABILITY = 0.3  # part of spoilt answers that are good, with noise behind them
+LONG_VALUE_BYTES = 40_000
+LONG_VALUE_ID_SUFFIX = "77"  # requests whose id ends with it get a long value
+MALFORMATION_PROBABILITY = 0.3  # of a duplicated response, and otherwise of a malformed one
 
 
 class ServerBehavior(Enum):
-    """How a server behaves."""
+    """How a server responds to commands."""
 
-    NORMAL = "sound"
-    HANG = "hangs"  # takes requests and answers none
-    ERROR = "errs"
+    NORMAL = "normal"
+    HANG = "hang"  # accepts requests and responds to none
+    ERROR = "error"
     BUSY = "busy"
-    MALFORMED = "spoils"  # some of its answers cannot be read
-    DRAINING = "drains"  # turns away what is new
+    MALFORMED = "malformed"  # some responses are malformed or duplicated
+    DRAINING = "draining"  # rejects new requests
 
 
 def expected_value(request_id: str) -> bytes:
-    """The value that servers make for a request; no other answer to it is right. Some are long."""
+    """Returns the only correct response value for a request; some values are long."""
     padding = LONG_VALUE_BYTES if request_id.endswith(LONG_VALUE_ID_SUFFIX) else 0
     return b"value-of-" + request_id.encode() + b"." * padding
 
 
 class SoakServer:
-    """One font server at a port of its own, behind a link."""
+    """One server at its own port, behind a proxy."""
 
     def __init__(self, name: str, record: SoakRecord, generator: random.Random, started_ms: int) -> None:
         self.name, self.record, self.generator, self.started_ms = name, record, generator, started_ms
@@ -53,13 +54,13 @@
         self.listener: asyncio.Server
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts to listen and creates the proxy."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(lambda: ServerConnection(self), "127.0.0.1", 0)
         self.proxy = FaultProxy(self.listener.sockets[0].getsockname()[1], self.generator)
 
     def entry(self) -> dict[str, Any]:
-        """It in discovery's form."""
+        """Returns the server's entry in discovery's JSON form."""
         return {
             "id": self.name,
             "addr": f"127.0.0.1:{self.proxy.port}",
@@ -72,7 +73,7 @@
         }
 
     def close(self) -> None:
-        """Ends it: its connections are reset and new ones refused."""
+        """Closes the listener and the proxy, and aborts all connections."""
         self.listener.close()
         for connection in list(self.connections):
             connection.transport.abort()
@@ -80,7 +81,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection to a font server; answers come in the order of the commands."""
+    """One connection to a server, which sends responses in the order of the commands."""
 
     def __init__(self, server: SoakServer) -> None:
         self.server, self.reader = server, hiredis.Reader()
@@ -88,19 +89,22 @@
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Registers the connection at its server."""
         self.transport = transport  # type: ignore[assignment]
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Removes the connection from its server."""
         self.server.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
+        """Starts a task for each complete command."""
         self.reader.feed(data)
         while (command := self.next_command()) is not None:
             self.last_task = asyncio.get_running_loop().create_task(self.serve(command, self.last_task))
 
     def next_command(self) -> list[bytes] | None:
-        """The next command that is whole; one that cannot be read is noted and ends the connection."""
+        """Returns the next complete command, or None; records a malformed one and aborts the connection."""
         try:
             command = self.reader.gets()
         except hiredis.ProtocolError as err:
@@ -116,7 +120,7 @@
         return None
 
     async def serve(self, command: list[bytes], previous: asyncio.Task[None] | None) -> None:
-        """Works on one command and answers it behind the one before."""
+        """Processes one command and sends its response after that of the previous command."""
         server = self.server
         request_id = command[2].decode()
         remaining_ms = dict(term.split(b"=") for term in command[3].split(b","))[b"d"]
@@ -133,7 +137,7 @@
         self.transport.write(b"-BUSY\r\n" if is_busy else self.encode_response(request_id))
 
     def encode_response(self, request_id: str) -> bytes:
-        """The answer to a command that has run."""
+        """Returns the encoded response to a command that was processed."""
         value, generator = expected_value(request_id), self.server.generator
         response = b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(value), value)
         match self.server.behavior:
@@ -147,7 +151,7 @@
 
 
 class SoakCounter:
-    """The counter, at two addresses that share its numbers."""
+    """The counter, at two addresses that share its totals."""
 
     def __init__(self) -> None:
         self.tally, self.totals = StandInTally(), dict[bytes, float]()
@@ -155,7 +159,7 @@
         self.listeners: list[asyncio.Server] = []
 
     async def start(self, generator: random.Random) -> None:
-        """Listens."""
+        """Starts to listen at two addresses, each behind a proxy."""
         loop = asyncio.get_running_loop()
         for _ in range(2):
             listener = await loop.create_server(
@@ -165,13 +169,13 @@
             self.proxies.append(FaultProxy(listener.sockets[0].getsockname()[1], generator))
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the proxies and listeners."""
         for resource in [*self.proxies, *self.listeners]:
             resource.close()
 
 
 class SoakServerList:
-    """The list of servers with its versions."""
+    """Discovery's server list with its versions."""
 
     def __init__(self) -> None:
         self.version, self.changes = 1, list[dict[str, Any]]()
@@ -179,7 +183,7 @@
         self.change_event = asyncio.Event()
 
     def apply_change(self, entry: dict[str, Any]) -> None:
-        """A server's state changed, or a new one came."""
+        """Applies a changed or new entry, which creates a version, and wakes waiting calls."""
         self.version += 1
         self.changes.append(entry)
         if entry["state"] == "removed":
@@ -190,7 +194,7 @@
         change_event.set()
 
     async def respond(self, query: dict[str, str]) -> tuple[bytes, list[dict[str, Any]]]:
-        """The body for a call, and the entries in it, after the wait that it asks for."""
+        """Returns the response body for a call and the entries in it, after the requested wait."""
         known_version = int(query.get("index", 0))
         if known_version == self.version:
             try:
@@ -203,13 +207,16 @@
         return self.encode_list(full, servers), servers
 
     def encode_list(self, full: bool, servers: list[dict[str, Any]]) -> bytes:
-        """A list as it goes over the wire."""
+        """Returns a server list as JSON."""
         return json.dumps({"version": self.version, "full": full, "servers": servers}).encode()
 
 
 @dataclass(slots=True)
 class DiscoveryAgent:
-    """Discovery's agent beside one gateway, at two addresses. What it wrote to the gateway counts as told."""
+    """Discovery's agent beside one gateway, at two addresses.
+
+    It records the server states that it writes to the gateway as delivered.
+    """
 
     gateway: int
     service: SoakServerList
@@ -219,7 +226,7 @@
     listeners: list[asyncio.Server]
 
     async def start(self, generator: random.Random) -> None:
-        """Listens."""
+        """Starts to listen at two addresses, each behind a proxy."""
         loop = asyncio.get_running_loop()
         for _ in range(2):
             listener = await loop.create_server(lambda: DiscoveryAgentConnection(self), "127.0.0.1", 0)
@@ -227,7 +234,7 @@
             self.proxies.append(FaultProxy(listener.sockets[0].getsockname()[1], generator))
 
     def record_delivery(self, servers: list[dict[str, Any]]) -> None:
-        """Notes what was told; where the way is not sound, it counts as told later."""
+        """Records server states as delivered: now, or MAX_DISCOVERY_DELAY later if a proxy may drop them."""
         is_reachable = all(proxy.fault in (ProxyFault.NONE, ProxyFault.FRAGMENTED) for proxy in self.proxies)
         at, run_number = time.monotonic() + (0.0 if is_reachable else MAX_DISCOVERY_DELAY), self.current_run()
         for entry in servers:
@@ -236,20 +243,20 @@
             )
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the proxies and listeners."""
         for resource in [*self.proxies, *self.listeners]:
             resource.close()
 
 
 class DiscoveryAgentConnection(DiscoveryProtocol):
-    """One connection to an agent; what it answers counts as told."""
+    """One connection to an agent, whose responses are recorded as delivered."""
 
     def __init__(self, agent: DiscoveryAgent) -> None:
         super().__init__(agent.service)
         self.agent = agent
 
     async def reply(self, target: str) -> None:
-        """Answers one call."""
+        """Responds to one call and records the delivery."""
         assert self.transport is not None
         body, servers = await self.agent.service.respond(dict(parse_qsl(urlsplit(target).query)))
         self.transport.write(http_answer(body))
@@ -257,6 +264,6 @@
 
 
 def record_server_start(record: SoakRecord, name: str, offset_ms: int = 0) -> int:
-    """Notes the cold start of a server; its time as discovery tells it."""
+    """Records the start of a server and returns its start time as discovery sends it, in milliseconds."""
     record.server_starts.append(ServerStart(name, time.monotonic()))
     return int(time.time() * 1000) + offset_ms
