--- a/emulator/soak/clients.py
+++ b/emulator/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of every manner that the pages name, and the front that spreads them over the gateways."""
+"""Simulated clients, well-behaved and not, and the front end that distributes them over the gateways."""
 
 from __future__ import annotations
 
@@ -17,22 +17,20 @@
 from emulator.soak.record import BadClient, RequestOutcome, RequestRecord, SoakRecord
 from emulator.soak.standins import expected_value
 
-LATE_RESPONSE_GRACE = 0.5  # seconds after its time for which an answer is still one
-BAD_CLIENT_TIMEOUT = 3.0  # seconds in which a bad client is owed an error or a close
-OBSERVATION_MARGIN = 1.5  # seconds for which it is watched beyond that
+LATE_RESPONSE_GRACE = 0.5  # seconds after the deadline within which a response is accepted
+BAD_CLIENT_TIMEOUT = 3.0  # seconds within which a gateway must send a bad client an error or a close
+OBSERVATION_MARGIN = 1.5  # seconds for which clients wait beyond these limits
 CONNECT_TIMEOUT = 1.0  # seconds
-SHORT_BODY_BYTES, LONG_BODY_BYTES, LONG_BODY_SHARE = (
-    20,
-    40_000,
-    0.04,
-)  # bytes; part of the bodies that are long
-MAX_PIPELINED_COMMANDS = 200  # commands on a connection that is pressed
+SHORT_BODY_BYTES = 20
+LONG_BODY_BYTES = 40_000
+LONG_BODY_SHARE = 0.04  # share of the bodies that are long
+MAX_PIPELINED_COMMANDS = 200  # commands that one client sends on a connection
 TENANTS = 40
-LINGER_RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close resets the connection
 
 
 class ClientConnection:
-    """One connection to a gateway. Commands may be written one behind another, and are answered in order."""
+    """One connection to a gateway. Commands may be pipelined; responses arrive in the same order."""
 
     def __init__(self, number: int, gateway: int, run_number: int) -> None:
         self.number, self.gateway, self.run_number = number, gateway, run_number
@@ -44,12 +42,12 @@
         self.closed = asyncio.Event()
 
     async def open(self, port: int) -> None:
-        """Connects, and listens until the connection ends. Raises OSError."""
+        """Connects and starts to read responses; raises OSError."""
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
         self.read_task = asyncio.get_running_loop().create_task(self.read_responses())
 
     async def read_responses(self) -> None:
-        """Takes answers until the end."""
+        """Reads responses until the connection ends, and records pending requests as closed."""
         with contextlib.suppress(OSError):
             while data := await self.reader.read(65536):
                 self.parser.feed(data)
@@ -64,7 +62,7 @@
         self.writer.close()
 
     def handle_response(self, response: object) -> None:
-        """One answer: to the oldest command that waits; one too many belongs to the last."""
+        """Assigns a response to the oldest pending request, or counts a surplus one for the last request."""
         now = time.monotonic()
         if not self.pending:
             if self.last_answered is not None:
@@ -82,11 +80,11 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether a command may be written to it."""
+        """Whether commands can still be sent."""
         return not self.closed.is_set() and not self.writer.is_closing()
 
     def disconnect(self, method: str) -> None:
-        """The client goes: it closes, resets or ends its sending."""
+        """Ends the connection: `method` is "close", "reset", or "half" to close only the sending side."""
         now = time.monotonic()
         for request in self.pending:
             request.client_closed_at, request.outcome, request.ended_at = now, RequestOutcome.CLIENT_LEFT, now
@@ -100,14 +98,14 @@
 
 
 class FrontEnd:
-    """Knows which gateways are ready, as a front does some time after it."""
+    """A front end that routes clients to gateways and learns about their readiness with a delay."""
 
     def __init__(self, ports: list[int], current_run: Callable[[int], int]) -> None:
         self.ports, self.current_run = ports, current_run
         self.ready = [False] * len(ports)
 
     def pick_gateway(self, first_gateway: int, generator: random.Random) -> int | None:
-        """A ready gateway of a customer's set."""
+        """Returns a random ready gateway of a tenant's gateways, or None if none is ready."""
         tenant_gateways = [
             (first_gateway + offset) % len(self.ports) for offset in range(min(SPREAD, len(self.ports)))
         ]
@@ -116,31 +114,32 @@
 
 
 class ClientSimulator:
-    """All clients of a run."""
+    """Simulates all clients of a soak."""
 
     def __init__(self, front_end: FrontEnd, record: SoakRecord, generator: random.Random) -> None:
         self.front_end, self.record, self.generator = front_end, record, generator
         self.connection_numbers, self.request_ids = itertools.count(1), itertools.count(1)
         self.idle_connections: dict[int, list[ClientConnection]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.read_tasks: set[asyncio.Task[None]] = set()  # of all connections that were opened
-        self.leave_share, self.slow_share, self.idle_share = 0.02, 0.02, 0.01  # parts of the requests
+        self.read_tasks: set[asyncio.Task[None]] = set()  # of all open connections
+        # Shares of the requests.
+        self.leave_share, self.slow_share, self.idle_share = 0.02, 0.02, 0.01
         self.stopped = False
 
     async def generate_load(self, rate: float) -> None:
-        """Requests at random times, so many a second, until `stopped`."""
+        """Sends requests at random times with a mean rate per second, until `stopped` is set."""
         while not self.stopped:
             await asyncio.sleep(self.generator.expovariate(rate))
             self.spawn(self.run_request())
 
     def spawn(self, client: object) -> None:
-        """Starts one client's work."""
+        """Starts the coroutine of one client as a task."""
         task = asyncio.get_running_loop().create_task(client)  # type: ignore[arg-type]
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def encode_command(self, request_id: str, service: ServiceClassConfig, tenant: int) -> bytes:
-        """A request on the wire."""
+        """Returns a request as it is sent to a gateway."""
         first_gateway = tenant % len(self.front_end.ports)
         spread = min(SPREAD, len(self.front_end.ports))
         key = "" if service.effect.value != "keyed" else f",k=key-{request_id}"
@@ -158,7 +157,7 @@
         return (f"*{len(parts)}\r\n" + "".join(f"${len(part)}\r\n{part}\r\n" for part in parts)).encode()
 
     async def acquire_connection(self, gateway: int) -> ClientConnection | None:
-        """A free connection to a gateway, or a new one; None where none comes up."""
+        """Returns an idle connection to a gateway or opens one; returns None if that fails."""
         idle = self.idle_connections.setdefault(gateway, [])
         while idle:
             connection = idle.pop()
@@ -167,7 +166,7 @@
         return await self.open_connection(gateway)
 
     async def open_connection(self, gateway: int) -> ClientConnection | None:
-        """A new connection to a gateway; None where none comes up."""
+        """Opens a connection to a gateway; returns None if that fails."""
         connection = ClientConnection(
             next(self.connection_numbers), gateway, self.front_end.current_run(gateway)
         )
@@ -181,7 +180,7 @@
         return connection
 
     async def run_request(self) -> None:
-        """One request of a usual client, which may leave early, write slowly or rest first."""
+        """Sends one request of a regular client, which may disconnect early or write slowly."""
         generator = self.generator
         tenant = int(TENANTS * generator.random() ** 1.5)
         service = generator.choices(SERVICE_CLASSES, [each.traffic_share for each in SERVICE_CLASSES])[0]
@@ -211,7 +210,7 @@
         slow: bool = False,
         request_id: str = "",
     ) -> RequestRecord:
-        """Writes a command; its time begins with its last byte."""
+        """Sends a command, slowly in two parts if `slow`; its timeout starts with the last byte."""
         request_id = request_id or f"q{next(self.request_ids)}"
         text = self.encode_command(request_id, service, tenant)
         if slow:
@@ -238,7 +237,7 @@
         return request
 
     async def wait_for_response(self, connection: ClientConnection, request: RequestRecord) -> None:
-        """Waits for the answer, or until it can be none any more."""
+        """Waits for the response until the client gives up, and then closes the connection."""
         until = request.sent_at + request.timeout + LATE_RESPONSE_GRACE + OBSERVATION_MARGIN
         while request.outcome is RequestOutcome.NO_RESPONSE and time.monotonic() < until:
             await asyncio.sleep(0.02)
@@ -246,11 +245,11 @@
             connection.writer.close()
 
     def crossed_close(self, request: RequestRecord) -> bool:
-        """Whether the close of its connection crossed the request, which was then not read."""
+        """Returns whether the gateway closed the connection at the same time and did not read the request."""
         return request.ended_at - request.sent_at < 0.05
 
     async def resend(self, request: RequestRecord, service: ServiceClassConfig, tenant: int) -> None:
-        """Sends a request that crossed a close once more, on a new connection."""
+        """Sends a request again on a new connection, after a simultaneous close of the first one."""
         gateway = self.front_end.pick_gateway(tenant % len(self.front_end.ports), self.generator)
         if gateway is None or (connection := await self.open_connection(gateway)) is None:
             return
@@ -260,7 +259,7 @@
             connection.writer.close()
 
     async def run_burst(self, count: int, disconnect: bool) -> None:
-        """Many commands at once on one connection, whose client may leave at once."""
+        """Pipelines many commands on one connection; the client may disconnect right after them."""
         gateway = self.front_end.pick_gateway(
             self.generator.randrange(len(self.front_end.ports)), self.generator
         )
@@ -282,7 +281,7 @@
             connection.writer.close()
 
     async def send_until_closed(self, gateway: int, interval: float) -> None:
-        """Sends on one connection to a gateway for as long as that is open, whatever the gateway is told."""
+        """Sends on one connection to a gateway until it closes, also while the gateway restarts."""
         connection = await self.open_connection(gateway)
         sent: list[tuple[RequestRecord, ServiceClassConfig, int]] = []
         while connection is not None and connection.is_usable and len(sent) < MAX_PIPELINED_COMMANDS:
@@ -295,7 +294,7 @@
                 await self.resend(request, service, tenant)
 
     async def send_at_idle_timeout(self) -> None:
-        """Rests until the gateway is about to close the connection, and asks just then."""
+        """Keeps a connection idle until the gateway is about to close it, and sends a request then."""
         gateway = self.front_end.pick_gateway(
             self.generator.randrange(len(self.front_end.ports)), self.generator
         )
@@ -311,7 +310,10 @@
             await self.resend(request, service, tenant)
 
     async def run_bad_client(self) -> None:
-        """One bad client: it is owed an error or a close within 3 s of its fault."""
+        """Runs one client that violates the protocol and records when it gets an error or a close.
+
+        The gateway must send one within 3 s.
+        """
         generator = self.generator
         gateway = self.front_end.pick_gateway(generator.randrange(len(self.front_end.ports)), generator)
         if gateway is None:
@@ -321,7 +323,7 @@
             "garbage": b"\x88\xa8\x01garbage\r\n",
             "long line": b"*" + b"1" * 5000,
             "half a command": valid_command[: generator.randrange(1, len(valid_command) - 1)],
-            "half behind one in work": valid_command + valid_command[: len(valid_command) // 2],
+            "half command behind a pending one": valid_command + valid_command[: len(valid_command) // 2],
             "silent": b"",
             "unknown class": valid_command.replace(b"c=fetch", b"c=xxxxx"),
             "negative length": b"*4\r\n$-7\r\n",
@@ -346,17 +348,17 @@
         writer.close()
 
     async def stop(self) -> None:
-        """No more requests; waits for those that are out."""
+        """Stops the load and waits for the pending requests."""
         self.stopped = True
         while self.tasks:
             await asyncio.wait(list(self.tasks))
 
     def close(self) -> None:
-        """Ends what is left of its connections."""
+        """Cancels all remaining tasks of clients and connections."""
         for task in [*self.tasks, *self.read_tasks]:
             task.cancel()
 
 
 def has_expected_value(request: RequestRecord) -> bool:
-    """Whether what it was served is what servers make for it."""
+    """Returns whether the response is the value that servers produce for the request."""
     return request.response == expected_value(request.id)
--- a/emulator/soak/command.py
+++ b/emulator/soak/command.py
@@ -12,27 +12,31 @@
 from emulator.soak.report import print_soak, write_soak
 from emulator.soak.runner import DEFAULT_RATE, SoakError, SoakOptions, run_soak
 
-SECONDS_PER_MINUTE = 60  # in a minute
-MAX_GATEWAYS, MAX_MINUTES, MAX_RATE = 60, 120.0, 500.0
-EXIT_VIOLATIONS = 1  # exit code where an invariant did not hold
+SECONDS_PER_MINUTE = 60
+MAX_GATEWAYS = 60
+MAX_MINUTES = 120.0
+MAX_RATE = 500.0  # requests per second for each gateway
+EXIT_VIOLATIONS = 1  # exit code if an invariant was violated
 
 
 def soak(
-    seed: Annotated[int, typer.Option(min=0, help="Of the troubles that are drawn.")] = 1,
-    gateways: Annotated[int, typer.Option(min=1, max=MAX_GATEWAYS, help="Real processes.")] = 24,
+    seed: Annotated[int, typer.Option(min=0, help="Seed for the random faults.")] = 1,
+    gateways: Annotated[int, typer.Option(min=1, max=MAX_GATEWAYS, help="Number of gateway processes.")] = 24,
     minutes: Annotated[
-        float, typer.Option(min=0.05, max=MAX_MINUTES, help="For which troubles are played.")
+        float, typer.Option(min=0.05, max=MAX_MINUTES, help="Duration of the fault injection.")
     ] = 1.0,
-    rate: Annotated[float, typer.Option(min=1, max=MAX_RATE, help="Requests a second each.")] = DEFAULT_RATE,
-    troubles: Annotated[str, typer.Option(help="Names to draw from, with commas; all if empty.")] = "",
-    out: Annotated[
-        Path | None, typer.Option(dir_okay=False, help="Also write what was found as JSON.")
-    ] = None,
+    rate: Annotated[
+        float, typer.Option(min=1, max=MAX_RATE, help="Requests per second for each gateway.")
+    ] = DEFAULT_RATE,
+    troubles: Annotated[
+        str, typer.Option(help="Comma-separated names of faults to draw from; all if empty.")
+    ] = "",
+    out: Annotated[Path | None, typer.Option(dir_okay=False, help="Also write the report as JSON.")] = None,
     logs: Annotated[
-        Path | None, typer.Option(file_okay=False, help="Keep configurations and logs here.")
+        Path | None, typer.Option(file_okay=False, help="Keep configurations and logs in this directory.")
     ] = None,
 ) -> None:
-    """Plays real gateways under overlapping troubles and judges them from outside."""
+    """Injects overlapping faults into real gateways and checks invariants from outside."""
     names = tuple(name for name in troubles.split(",") if name)
     options = SoakOptions(seed, gateways, minutes * SECONDS_PER_MINUTE, rate, names, directory=logs)
     errors = Console(stderr=True)
--- a/emulator/soak/report.py
+++ b/emulator/soak/report.py
@@ -1,4 +1,4 @@
-"""What a soak found, as text and as a file."""
+"""Reports of a soak, as text and as JSON."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from emulator.soak.record import SoakRecord
 from emulator.soak.runner import DEFAULT_RATE, SoakOptions, SoakResult
 
-MAX_PRINTED_VIOLATIONS = 20  # violations
-MAX_LOG_LINES = 8  # of the log of a gateway with each
+MAX_PRINTED_VIOLATIONS = 20
+MAX_LOG_LINES = 8  # lines of a gateway's log printed for each violation
 
 
 def replay_command(options: SoakOptions) -> str:
-    """The command that plays the same troubles again."""
+    """Returns the command that injects the same faults again."""
     words = ["python", "-m", "emulator", "soak", "--seed", str(options.seed)]
     words += ["--gateways", str(options.gateways), "--minutes", f"{options.seconds / 60:g}"]
     if options.rate != DEFAULT_RATE:
@@ -32,7 +32,10 @@
 
 
 def log_lines(record: SoakRecord, violation: Violation) -> list[str]:
-    """The lines that the gateway logged about the request and the connection of a violation."""
+    """Returns the lines that the gateway logged about the request or the connection of a violation.
+
+    If there are none, returns the last lines of its log.
+    """
     gateway = re.search(r"gateway (\d+)\.(\d+)", violation.detail)
     if not gateway:
         return []
@@ -46,7 +49,7 @@
 
 
 def print_soak(console: Console, result: SoakResult) -> None:
-    """Prints the counts, the troubles and the violations of a soak."""
+    """Prints the counts, faults and violations of a soak, and the command that repeats it."""
     record = result.record
     counts = Table(box=None)
     for name in result.counts():
@@ -69,11 +72,11 @@
     violation_counts = Counter(violation.invariant for violation in result.violations)
     if violation_counts:
         console.print(", ".join(f"{count} {name}" for name, count in violation_counts.items()))
-    console.print(f"again: {replay_command(result.options)}", soft_wrap=True)
+    console.print(f"repeat with: {replay_command(result.options)}", soft_wrap=True)
 
 
 def write_soak(result: SoakResult, path: Path) -> None:
-    """Writes what was found as JSON; raises OSError."""
+    """Writes the report of a soak as JSON; raises OSError."""
     report = {
         "command": replay_command(result.options),
         "counts": result.counts(),
