--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -1,7 +1,7 @@
-"""Gateways that are broken on purpose, to see that each invariant fires.
+"""Gateways that violate an invariant on purpose, to test that each invariant check detects its violation.
 
-`python -m emulator.soak.sabotage NAME` starts one. Each function breaks one rule in this process before the
-gateway starts; it is named after the invariant that has to notice. Only the tests of the soak run this.
+`python -m emulator.soak.sabotage NAME` starts one. Each function patches the gateway's code in this process
+before the gateway starts, and is named after the invariant that must detect it. Only the soak's tests use it.
 """
 
 from __future__ import annotations
@@ -25,22 +25,24 @@
 )
 from calicomast.net.__main__ import SighupCounter
 
-SEND_DELAY = 0.4  # seconds by which an attempt is held back where its client may have left
-RESEND_DELAY_PAST_WINDOW = 2.3  # seconds after which a keyed request is sent again
-DUPLICATE_DELAY = 0.02  # seconds after an answer at which its request is sent again
-ACTION_DELAY = 2.0  # seconds after the start at which something happens by itself
-LEAK_BYTES = 2 * 1024 * 1024  # bytes at a time
+SEND_DELAY = (
+    0.4  # seconds by which an attempt is sent late, so that its client may have left or been answered
+)
+RESEND_DELAY_PAST_WINDOW = 2.3  # seconds after a response; longer than the deduplication window
+DUPLICATE_DELAY = 0.02  # seconds after a response
+ACTION_DELAY = 2.0  # seconds after the start of the gateway
+LEAK_BYTES = 2 * 1024 * 1024  # bytes allocated in each interval
 LEAK_INTERVAL = 0.1  # seconds
-UNANSWERED_INTERVAL = 5  # of the requests one is left without an answer
+UNANSWERED_INTERVAL = 5  # one request in so many gets no response
 
 
 def call_later(seconds: float, action: Callable[..., Any], *arguments: Any) -> None:
-    """Calls something later on the running loop."""
+    """Calls an action after some seconds on the running event loop."""
     asyncio.get_running_loop().call_later(seconds, action, *arguments)
 
 
 def after_start(action: Callable[[gateway.GatewayService], None]) -> None:
-    """Does something once a gateway starts."""
+    """Calls an action after the gateway has started."""
     start = gateway.GatewayService.start
 
     async def start_with_action(service: gateway.GatewayService) -> None:
@@ -51,7 +53,7 @@
 
 
 def one_answer() -> None:
-    """Some requests get no answer."""
+    """Leaves some requests without a response."""
     finish_request, counter = gateway.GatewayService.finish_request, [0]
 
     def finish_with_gaps(
@@ -64,12 +66,12 @@
 
 
 def right_answer() -> None:
-    """What is served is not what the server made."""
+    """Changes the value that a server produced."""
     gateway.encode_bulk_string = lambda data: requests.encode_bulk_string(data + b"-not")  # type: ignore[assignment]
 
 
 def delay_attempts(seconds: float) -> None:
-    """Attempts go out late, and nobody asks again whether they may."""
+    """Sends attempts late and skips the check whether they are still permitted."""
     send = server_connections.ServerConnections.send
 
     def send_later(
@@ -86,7 +88,7 @@
 
 
 def resend_after_response(seconds: float) -> None:
-    """What was served goes to its server once more after so many seconds."""
+    """Sends a request to its server again, some seconds after its response."""
     original_attempt_done = gateway.GatewayService.attempt_done
 
     def attempt_done(service: gateway.GatewayService, attempt: server_connections.Attempt) -> None:
@@ -103,35 +105,35 @@
 
 
 def runs_once() -> None:
-    """A request goes to a server twice, whatever its class allows."""
+    """Sends each request twice, even if its class must not be retried."""
     resend_after_response(DUPLICATE_DELAY)
 
 
 def repeats_in_window() -> None:
-    """Repeats go out after their window."""
+    """Sends retries after the deduplication window."""
     resend_after_response(RESEND_DELAY_PAST_WINDOW)
 
 
 def nothing_after_leaving() -> None:
-    """A client that left is not noticed."""
+    """Ignores that a client has left."""
     clients.ClientConnection.peer_has_closed = lambda self: False  # type: ignore[method-assign]
     gateway.GatewayService.handle_client_gone = lambda self, slot: None  # type: ignore[method-assign]
     delay_attempts(SEND_DELAY)
 
 
 def nothing_after_answer() -> None:
-    """A request goes to a server once more after its answer."""
+    """Sends a request to its server again after the response."""
     resend_after_response(SEND_DELAY)
 
 
 def deadline_told() -> None:
-    """Servers are told a second more than there is."""
+    """Propagates a deadline that is a second too long."""
     payload = requests.ActiveRequest.encode_command
     requests.ActiveRequest.encode_command = lambda self, remaining: payload(self, remaining + 1.0)  # type: ignore[method-assign]
 
 
 def drained_servers_rest() -> None:
-    """Drains and removals are not heard."""
+    """Ignores drains and removals of servers."""
     apply = server_table.ServerTable.apply
 
     def apply_without_drains(self: server_table.ServerTable, update: Any) -> Any:
@@ -143,12 +145,12 @@
 
 
 def changes_are_heard() -> None:
-    """Discovery is never asked."""
+    """Never calls discovery."""
     discovery.DiscoveryClient.watch = lambda self, on: None  # type: ignore[method-assign]
 
 
 def cold_servers_stand() -> None:
-    """The server that started last gets all requests at once."""
+    """Sends all requests to the server that started last, without slow start."""
     slow_start.SlowStartAdmission.remaining = lambda *arguments: 1e9  # type: ignore[method-assign]
     servers.LoadBalancer.best_server = (  # type: ignore[method-assign]
         lambda self, now, keys, pool, charge: max(pool, key=lambda s: s.info.started_at, default=None)
@@ -156,24 +158,24 @@
 
 
 def quotas_hold() -> None:
-    """No account is ever spent."""
+    """Never exhausts a quota."""
     quota.TenantQuota.available_units = lambda self, now: 1e9  # type: ignore[method-assign]
     quota.TenantQuota.local_allowance = lambda self, now, counter_unavailable: 1e9  # type: ignore[method-assign]
 
 
 def bad_clients_are_answered() -> None:
-    """Nobody looks at connections that are idle or have half a command."""
+    """Never closes connections that are idle or have an incomplete command."""
     clients.ClientConnection.on_idle_timeout = lambda self: None  # type: ignore[method-assign]
     clients.ClientConnection.expire_partial_command = lambda self, seconds: None  # type: ignore[method-assign]
 
 
 def processes_live() -> None:
-    """The process ends by itself."""
+    """Ends the process without a signal."""
     after_start(lambda service: call_later(ACTION_DELAY, os._exit, 3))
 
 
 def resources_stay() -> None:
-    """Memory is taken and never given back."""
+    """Leaks memory."""
     leaked_blocks: list[bytes] = []
 
     def leak() -> None:
@@ -184,7 +186,7 @@
 
 
 def own_checks_hold() -> None:
-    """A run-time check finds something."""
+    """Records a violation of a run-time invariant."""
     violation = invariants.Invariant.SECOND_ANSWER
     after_start(
         lambda service: call_later(ACTION_DELAY, invariants.MONITOR.record_violation, violation, "on purpose")
@@ -192,7 +194,7 @@
 
 
 def commands_are_sound() -> None:
-    """Servers get what no client sent."""
+    """Sends a malformed command to servers."""
     requests.ActiveRequest.encode_command = lambda self, remaining: b"GET / HTTP/1.1\r\n\r\n"  # type: ignore[method-assign]
 
 
