--- a/emulator/real/faults.py
+++ b/emulator/real/faults.py
@@ -1,6 +1,7 @@
-"""Faults of system calls in a process under test: builds the shim faults.c and steers it while it runs.
+"""Injects faults into the system calls of a process under test, with the shim faults.c.
 
-The shim is built with `cc` and preloaded (LD_PRELOAD) into processes started for tests, and no others.
+The shim is built with `cc` and preloaded (LD_PRELOAD), only into processes that are started for tests. It is
+controlled through a memory-mapped file while the process runs.
 """
 
 from __future__ import annotations
@@ -11,18 +12,21 @@
 from pathlib import Path
 
 SHIM_SOURCE = Path(__file__).with_name("faults.c")
-FIELD_BYTES = 8
+FIELD_BYTES = 8  # of each field in the control file
 BUILD_TIMEOUT = 60.0  # seconds
 SECOND_NS = 1_000_000_000
 
 
 class ShimError(Exception):
-    """The shim could not be built; the text says why in one line."""
+    """Raised if the shim cannot be built; the message is one line."""
 
 
 class ControlField(IntEnum):
-    """The numbers of the control file, in the order of faults.c. `*_EVERY`: one call in so many; 1: each.
-    The shim writes the counts of those that did."""
+    """The fields of the control file, in the order of `enum field` in faults.c.
+
+    A fault affects one call in `*_EVERY` on average, and each call if that is 1. The shim counts the affected
+    calls in `*_FAILED`, `HELD` and `INTERRUPTED`.
+    """
 
     ACCEPT_ERRNO = 0
     ACCEPT_EVERY = auto()
@@ -44,7 +48,7 @@
 
 
 def build_shim(directory: Path) -> Path:
-    """Builds the shim into a folder; raises ShimError."""
+    """Builds the shim in a directory and returns its path; raises ShimError."""
     library = directory / "faults.so"
     command = ["cc", "-O2", "-Wall", "-shared", "-fPIC", "-o", str(library), str(SHIM_SOURCE), "-ldl"]
     try:
@@ -55,9 +59,14 @@
 
 
 class FaultInjector:
-    """The control file of one process."""
+    """Controls the faults of one process through its control file."""
 
     def __init__(self, library: Path, control_file: Path) -> None:
+        """Creates the control file, without faults, and maps it.
+
+        Args:
+            library: the shim, as built by build_shim.
+        """
         self.library, self.control_file = library, control_file
         control_file.write_bytes(bytes(len(ControlField) * FIELD_BYTES))
         with control_file.open("r+b") as opened:
@@ -66,45 +75,47 @@
 
     @property
     def environment(self) -> dict[str, str]:
-        """What the process needs in its environment."""
+        """The environment variables that preload the shim into the process."""
         return {"LD_PRELOAD": str(self.library), "FAULTS_FILE": str(self.control_file)}
 
     def __getitem__(self, field: ControlField) -> int:
+        """Returns a field of the control file."""
         return self._fields[field]
 
     def __setitem__(self, field: ControlField, value: int) -> None:
+        """Writes a field of the control file."""
         self._fields[field] = value
 
     def fail_accept(self, error_number: int, every: int = 1) -> None:
-        """Calls of accept fail with this errno; 0 ends it."""
+        """Makes one call of accept in `every` fail with this errno; 0 removes the fault."""
         self[ControlField.ACCEPT_EVERY], self[ControlField.ACCEPT_ERRNO] = every, error_number
 
     def fail_connect(self, error_number: int, every: int = 1) -> None:
-        """Calls of connect fail with this errno; 0 ends it."""
+        """Makes one call of connect in `every` fail with this errno; 0 removes the fault."""
         self[ControlField.CONNECT_EVERY], self[ControlField.CONNECT_ERRNO] = every, error_number
 
     def fail_socket(self, error_number: int, every: int = 1) -> None:
-        """Calls of socket fail with this errno; 0 ends it."""
+        """Makes one call of socket in `every` fail with this errno; 0 removes the fault."""
         self[ControlField.SOCKET_EVERY], self[ControlField.SOCKET_ERRNO] = every, error_number
 
     def step_wall_clock(self, seconds: float) -> None:
-        """The wall clock stands so far from the machine's."""
+        """Sets the offset of the process's wall clock from the machine's, in seconds."""
         self[ControlField.WALL_OFFSET_NS] = int(seconds * SECOND_NS)
 
     def limit_transfers(self, max_bytes: int) -> None:
-        """Reads and writes on sockets move so many bytes at most; 0 ends it."""
+        """Limits each read and write on a socket to this many bytes; 0 removes the limit."""
         self[ControlField.READ_CAP] = self[ControlField.WRITE_CAP] = max_bytes
 
     def delay_writes(self, seconds: float, every: int) -> None:
-        """One write in so many comes late by so much; 0 ends it."""
+        """Delays one write in `every` by some seconds; `every` 0 removes the fault."""
         self[ControlField.HOLD_NS], self[ControlField.HOLD_EVERY] = int(seconds * SECOND_NS), every
 
     def interrupt_calls(self, every: int) -> None:
-        """One accept, read or write in so many ends with EINTR; 0 ends it."""
+        """Makes one accept, read or write in `every` fail with EINTR; 0 removes the fault."""
         self[ControlField.INTERRUPT_EVERY] = every
 
     def clear(self) -> None:
-        """Ends all faults but a step of the wall clock."""
+        """Removes all faults except an offset of the wall clock."""
         for field in ControlField:
             if not (
                 field.name.endswith(("FAILED", "HELD", "INTERRUPTED")) or field is ControlField.WALL_OFFSET_NS
