--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: a short form on a fixed seed; and each invariant fires where a gateway is broken on purpose."""
+"""A short soak with a fixed seed, and soaks in which each invariant check detects a sabotaged gateway."""
 
 import subprocess
 import sys
@@ -11,7 +11,8 @@
 from emulator.soak.sabotage import SABOTAGES
 
 ROOT = Path(__file__).resolve().parent.parent
-# What these break shows only where all gateways do it, or is seen at no gateway, see below.
+# Invariants whose violation needs the sabotage of all gateways, or does not name a gateway, with a fault to
+# inject.
 BROKEN_AT_ALL_GATEWAYS = {
     "cold_servers_stand": "drain",
     "quotas_hold": "slow-clients",
@@ -19,7 +20,7 @@
 }
 
 
-def test_a_short_soak_finds_nothing():
+def test_short_soak_has_no_violations():
     faults = ("server-resets", "drain", "reload", "leave", "accept", "watch-stalls", "restart")
     result = run_soak(SoakOptions(seed=3, gateways=3, seconds=6.0, faults=faults))
     assert result.violations == []
@@ -28,11 +29,11 @@
     assert counts["troubles"] >= 2 and counts["lives"] >= 3
 
 
-def test_every_invariant_has_a_gateway_that_breaks_it():
+def test_each_invariant_check_has_a_sabotage():
     assert set(SABOTAGES) == {check.__name__ for check in INVARIANT_CHECKS}
 
 
-def test_each_invariant_fires_at_the_gateway_that_breaks_it():
+def test_each_invariant_check_detects_the_gateway_sabotaged_for_it():
     names = [name for name in SABOTAGES if name not in BROKEN_AT_ALL_GATEWAYS]
     faults = ("server-errs", "server-hangs", "drain", "leave", "bad-clients")
     options = SoakOptions(
@@ -47,16 +48,16 @@
 
 
 @pytest.mark.parametrize("name", sorted(BROKEN_AT_ALL_GATEWAYS))
-def test_what_all_gateways_break_together_is_seen(name):
+def test_invariant_check_detects_sabotage_of_all_gateways(name):
     faults = (BROKEN_AT_ALL_GATEWAYS[name],)
     options = SoakOptions(seed=1, gateways=12, seconds=5.0, faults=faults, overlap=1, sabotage=(name,) * 12)
     assert name in {violation.invariant for violation in run_soak(options).violations}
 
 
 @pytest.mark.parametrize(
-    "arguments, word", [(["--troubles", "nonsense"], "nonsense"), (["--gateways", "0"], "gateways")]
+    "arguments, expected_word", [(["--troubles", "nonsense"], "nonsense"), (["--gateways", "0"], "gateways")]
 )
-def test_bad_arguments_of_the_soak_are_one_line(arguments, word):
+def test_invalid_soak_argument_is_reported_in_one_line(arguments, expected_word):
     command = [sys.executable, "-m", "emulator", "soak", *arguments]
-    ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert ended.returncode == 2 and word in ended.stderr and ended.stderr.count("\n") == 1
+    process = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
+    assert process.returncode == 2 and expected_word in process.stderr and process.stderr.count("\n") == 1
