--- a/calicomast/adapter.py
+++ b/calicomast/adapter.py
@@ -1,4 +1,5 @@
-"""Wire adapter: reads batches on standard input, hands events to one Gateway per instance, writes actions.
+"""Wire adapter: reads batches on standard input, hands events to one GatewayPolicy per instance, writes
+actions.
 
 It translates only. Run as `python -m calicomast.adapter`.
 """
@@ -11,7 +12,7 @@
 from typing import Any, TextIO
 
 from calicomast import interface as api
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 from calicomast.settings import NS, flag, read_report, read_settings, seconds
 
 STATE = {"U": "up", "L": "leaving", "D": "down"}
@@ -156,7 +157,7 @@
 class Adapter:
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source, self.sink, self.line_no, self.line = source, sink, 0, ""
-        self.gateways: dict[int, Gateway] = {}
+        self.gateways: dict[int, GatewayPolicy] = {}
 
     def _next(self) -> str | None:
         line = self.source.readline()
@@ -210,7 +211,7 @@
             raise WireError(str(err), inst) from err
         try:
             if event is None:
-                self.gateways[inst] = Gateway(settings, seed, now)
+                self.gateways[inst] = GatewayPolicy(settings, seed, now)
                 return
             actions = self.gateways[inst].handle(now, event)
             out.extend(WRITERS[type(a)](inst, a) for a in actions)
--- a/calicomast/health.py
+++ b/calicomast/health.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from calicomast.quota import GAIN
+from calicomast.quota import EWMA_WEIGHT
 
 FORGET = 10.0  # s; half of what is known of a host's failures is forgotten, which is its next trial
 DOUBT_LEAST, DOUBT_MOST = 0.02, 0.6  # bounds of the part of hosts taken to fail before anything is seen
@@ -40,7 +40,7 @@
             else:  # any answer shows that the host as a whole works, but not that it serves the other kinds
                 q = 0.0 if key == keys[0] else q * (1 - FAILS) / (q * (1 - FAILS) + (1 - q) * (1 - CHANCE))
             self.hosts.setdefault(host, {})[key] = (q, now)
-            self.pool[key] = min(DOUBT_MOST, max(DOUBT_LEAST, pool + GAIN * (q - pool)))
+            self.pool[key] = min(DOUBT_MOST, max(DOUBT_LEAST, pool + EWMA_WEIGHT * (q - pool)))
 
     def forget(self, host: str) -> None:
         self.hosts.pop(host, None)
--- a/calicomast/interface.py
+++ b/calicomast/interface.py
@@ -243,7 +243,7 @@
     host: str
     timeout: float = 0  # 0: until the client gives up
     repeat_until: float = math.inf  # clock time by which it has to be written, as a repeat
-    cold: bool = False  # a write that is late needs Gateway.admits_late
+    cold: bool = False  # a write that is late needs GatewayPolicy.admits_delayed_attempt
 
 
 @dataclass(frozen=True, slots=True)
--- a/calicomast/leases.py
+++ b/calicomast/leases.py
@@ -1,7 +1,7 @@
 """Units and open slots of customers: what passes by a lease, by the local allowance or unasked.
 
 Also the calls to the counter by which leases are sought.
-Part of the decisions: policy.py, whose Gateway is made of this.
+Part of the decisions: policy.py, whose GatewayPolicy is made of this.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
     CHARGE_AT,
     CROWDED,
     USE_SPAN,
-    Account,
     Call,
     Counter,
     PlanUse,
+    TenantQuota,
     stable_hash,
 )
 from calicomast.rules import RefusalReason
@@ -36,7 +36,7 @@
 
 
 class LeaseDecisions(ABC):
-    """The part of Gateway that keeps quotas.
+    """The part of GatewayPolicy that keeps quotas.
 
     Attributes:
         uses: what the counter granted, by plan and level of demand.
@@ -59,7 +59,9 @@
     out: list[api.Action]
 
     @abstractmethod
-    def beyond(self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0) -> None:
+    def handle_over_quota(
+        self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0
+    ) -> None:
         """A request is beyond its quota."""
 
     @abstractmethod
@@ -75,17 +77,17 @@
         return RESERVE * pending.plan.burst * (1 - pending.cls.worth / self.top) if self.top else 0.0
 
     def spare(self, now: float, pending: PendingRequest) -> float:
-        return pending.acct.room(now) - self.kept(pending) - pending.req.units
+        return pending.acct.available_units(now) - self.kept(pending) - pending.req.units
 
     def take_units(self, now: float, pending: PendingRequest) -> bool:
         acct, units = pending.acct, pending.req.units
         if self.spare(now, pending) + acct.lease < 0:
             return False
-        left = acct.allowance(now, self.counter.fails > 0) - acct.uncharged
+        left = acct.local_allowance(now, self.counter.fails > 0) - acct.uncharged
         if acct.lease >= units:
             acct.lease -= units
         # What is less than a request is rounded at random, once a window: over all gateways it comes out.
-        elif acct.room(now) >= units and left >= units * (1 - acct.rounding):
+        elif acct.available_units(now) >= units and left >= units * (1 - acct.rounding):
             acct.uncharged += units
         else:
             return False
@@ -105,19 +107,19 @@
         self.renew(now, pending.acct, 1 / max(chance, 1 / SAMPLE_MOST))
 
     def decide(self, now: float, pending: PendingRequest, ask: bool) -> None:
-        acct, room = pending.acct, pending.acct.room(now)
+        acct, room = pending.acct, pending.acct.available_units(now)
         if self.take_units(now, pending):
             return
         if now < acct.full_until or self.spare(now, pending) < 0:
             wait = (pending.req.units - room) / acct.plan.rate
-            self.beyond(now, pending, RefusalReason.QUOTA, wait)
+            self.handle_over_quota(now, pending, RefusalReason.QUOTA, wait)
         elif ask and self.counter.usable(now):
             acct.waiting.append(pending.req.id)
             self.check_at(now + 2 * self.counter.timeout + TICK, pending)
         else:
-            self.unasked(now, pending)
+            self.decide_without_lease(now, pending)
 
-    def unasked(self, now: float, pending: PendingRequest) -> None:
+    def decide_without_lease(self, now: float, pending: PendingRequest) -> None:
         use, units = self.uses[pending.plan.name, pending.level], pending.req.units
         away, mistake = self.counter.fails > 0, use.mistake(pending.plan)
         use.refill(now)
@@ -128,7 +130,7 @@
             pending.acct.used += units
             self.want_slot(now, pending)
         else:
-            self.beyond(now, pending, RefusalReason.QUOTA_UNKNOWN)
+            self.handle_over_quota(now, pending, RefusalReason.QUOTA_UNKNOWN)
 
     def risked(self, now: float, loss: float) -> bool:
         """Whether a try may pass unasked, which loses `loss` in the mean. What all such tries lose is bounded
@@ -138,25 +140,25 @@
         self.inside, self.risk, self.faded_at = self.inside * fade, self.risk * fade + loss, now
         return self.rng.random() * self.risk * self.counter.turned <= UNASKED_LOSS * self.inside
 
-    def renew(self, now: float, acct: Account, factor: float = 1.0) -> None:
+    def renew(self, now: float, acct: TenantQuota, factor: float = 1.0) -> None:
         if acct.call is not None or not self.counter.usable(now):
             return
         need = sum(self.requests[i].req.units for i in acct.waiting if i in self.requests)
-        w, room = acct.block(self.counter.price + CROWD * self.counter.slow**2), acct.room(now)
+        w, room = acct.block(self.counter.price + CROWD * self.counter.slow**2), acct.available_units(now)
         more = acct.lease < w / 2 and room > w * acct.spread and now >= acct.full_until
-        due = acct.uncharged > max(1.0, CHARGE_AT * acct.allowance(now, False))
+        due = acct.uncharged > max(1.0, CHARGE_AT * acct.local_allowance(now, False))
         if not (need or due or (acct.put and more)):
             return
         ask = max(need, w) - acct.lease if need else w * more
         ask = max(0, int(min(math.ceil(ask), max(room, 0.0))))
         if ask + acct.uncharged <= 0:
-            self.settle_waiting(now, acct)
+            self.decide_waiting(now, acct)
             return
         extra = need * (factor - 1)
         call = acct.call = Call(acct, "units", acct.k, acct.uncharged, ask, extra, acct.spare)
         acct.total += acct.uncharged
         acct.uncharged = acct.spare = 0.0
-        self.count(stable_hash(acct.name, acct.k), call.amount, 3 * acct.length, call)
+        self.count(stable_hash(acct.name, acct.k), call.amount, 3 * acct.window_length, call)
 
     def count(self, name: int, amount: float, life: float, call: Call) -> None:
         self.calls.setdefault(name, []).append(call)
@@ -176,7 +178,7 @@
             acct.call = None
             acct.roll(now)
             if call.window == acct.k and ok:
-                self.granted(now, acct, event.total, call)
+                self.on_units_counted(now, acct, event.total, call)
             elif call.window == acct.k and event.result == "spoilt":
                 acct.put += call.amount  # surely added: what was asked for is used up by the next call
                 acct.spare += call.ask
@@ -186,14 +188,14 @@
                 acct.spare += call.spare
             elif call.window == acct.k:
                 acct.unsure += call.amount
-            self.settle_waiting(now, acct, event.result != "full")
+            self.decide_waiting(now, acct, event.result != "full")
         elif call.kind == "slot":
             self.slot_counted(now, event, call)
         elif call.window == acct.k and event.result not in ("ok", "spoilt"):
             acct.put -= call.amount  # else what never came into the count would be taken for lost from it
             acct.unsure += call.amount * (event.result == "timeout")
 
-    def granted(self, now: float, acct: Account, total: float, call: Call) -> None:
+    def on_units_counted(self, now: float, acct: TenantQuota, total: float, call: Call) -> None:
         mine, extra, slack = call.amount, 0.0, ROUNDING * max(1.0, total)
         if total < acct.put + mine - slack:  # less than what is ours alone: counts were lost; add ours again
             extra, acct.put = acct.put, 0.0  # the new count holds nothing else of ours
@@ -218,14 +220,14 @@
             extra -= over
         if extra:
             call = Call(acct, "void", acct.k, extra=extra)
-            self.count(stable_hash(acct.name, acct.k), extra, 3 * acct.length, call)
+            self.count(stable_hash(acct.name, acct.k), extra, 3 * acct.window_length, call)
 
-    def settle_waiting(self, now: float, acct: Account, again: bool = True) -> None:
+    def decide_waiting(self, now: float, acct: TenantQuota, again: bool = True) -> None:
         waiting, acct.waiting = acct.waiting, []
         pending_requests = [self.requests[i] for i in waiting if i in self.requests]
         for pending in sorted(pending_requests, key=lambda j: -j.worth / max(j.req.units, 1e-9)):
-            if acct.room(now) + acct.lease < pending.req.units:
-                wait = max(0.0, 1 - acct.room(now)) / acct.plan.rate
+            if acct.available_units(now) + acct.lease < pending.req.units:
+                wait = max(0.0, 1 - acct.available_units(now)) / acct.plan.rate
                 crowd = self.counter.slow > CROWDED  # the others wait for the same unit: no call for long
                 acct.full_until = now + wait * (acct.spread if crowd else 1)
             self.decide(now, pending, again and not self.counter.fails)
@@ -237,7 +239,7 @@
         judged by Little's law from the customer's rate, which its units bound, and the time of answers."""
         acct, plan = pending.acct, pending.plan
         own, shared = divmod(plan.open_limit, acct.spread)
-        rate = max(acct.total, acct.used) / max(now - acct.start, acct.length / 4)
+        rate = max(acct.total, acct.used) / max(now - acct.window_start, acct.window_length / 4)
         mean = min(rate, plan.rate or rate) / max(pending.req.units, 1e-9) * self.fleet.mean[pending.cls.name]
         over = 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.open_limit))
         cost = max(0.0, plan.over_cost - plan.over_worth)
@@ -255,12 +257,12 @@
             self.check_at(pending.deadline, pending)
             return
         elif plan.open_limit and (plan.open_limit >= acct.spread or over * cost >= 1 - over):
-            self.beyond(now, pending, RefusalReason.OPEN_LIMIT)
+            self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT)
             return
         self.enqueue(now, pending)
 
     def count_open(
-        self, acct: Account, epoch: int, amount: int, pending: PendingRequest | None = None
+        self, acct: TenantQuota, epoch: int, amount: int, pending: PendingRequest | None = None
     ) -> None:
         call = Call(acct, "slot" if pending else "void", epoch, pending=pending)
         self.count(stable_hash("open", acct.name, epoch), amount, 2 * OPEN_EPOCH, call)
@@ -270,7 +272,7 @@
         if ok and (pending.done or event.total > acct.plan.open_limit % acct.spread):
             self.count_open(acct, call.window, -1)
         if ok and not pending.done and event.total > acct.plan.open_limit % acct.spread:
-            self.beyond(now, pending, RefusalReason.OPEN_LIMIT)
+            self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT)
         elif not pending.done:
             pending.slot = call.window if ok else 0
             self.enqueue(now, pending) if ok else self.want_slot(now, pending, False)
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -27,7 +27,7 @@
 from calicomast.net.listing import Listing
 from calicomast.net.requests import BadRequest, Work, bulk, check_form, read_request
 from calicomast.net.server_table import ServerTable
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 from calicomast.rules import (
     Verdict,
     may_take_request,
@@ -63,7 +63,7 @@
     def __init__(self, config: Config) -> None:
         self.config, self.settings, self.clock = config, config.settings, Clock()
         self.loop = asyncio.get_running_loop()
-        self.module = Gateway(config.settings, config.seed, self.clock())
+        self.module = GatewayPolicy(config.settings, config.seed, self.clock())
         self.works: dict[str, Work] = {}
         self.held = 0  # bytes of bodies in work
         self.events: deque[api.Event] = deque()
@@ -335,7 +335,7 @@
 
     def admits_late(self, now: float, id: str, number: int, server: str) -> bool:
         """Asks the module about an attempt at a cold server whose connection came up late."""
-        return self.module.admits_late(now, id, number, server)
+        return self.module.admits_delayed_attempt(now, id, number, server)
 
     def begin(self, attempt: Attempt) -> bytes | None:
         """What goes to the server, worked out as its connection is there to be written to; None if it may not
--- a/calicomast/pending.py
+++ b/calicomast/pending.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from calicomast import interface as api
-from calicomast.quota import Account
+from calicomast.quota import TenantQuota
 
 
 @dataclass(slots=True, eq=False)
@@ -16,7 +16,7 @@
     req: api.Request
     cls: api.ServiceClass
     plan: api.Plan
-    acct: Account
+    acct: TenantQuota
     arrived: float
     deadline: float
     worth: float
--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -1,7 +1,7 @@
 """The decisions of calicomast. Types, events and actions: interface.py in this folder.
 
-Gateway(settings, seed, now).handle(now, event) -> actions. No clock, no I/O. What a gateway may do by itself
-is its part of an amount for all; what is less than one is kept as credit or drawn as a chance.
+GatewayPolicy(settings, seed, now).handle(now, event) -> actions. No clock, no I/O. What a gateway may do by
+itself is its part of an amount for all; what is less than one is kept as credit or drawn as a chance.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from calicomast.admission import charge
 from calicomast.leases import LeaseDecisions
 from calicomast.pending import PendingRequest
-from calicomast.quota import GAIN, Account, Call, Counter, PlanUse
+from calicomast.quota import EWMA_WEIGHT, Call, Counter, PlanUse, TenantQuota
 from calicomast.rules import RefusalReason, repeat_until
 from calicomast.servers import LIMIT_MOST, PRESS_SPAN, PRESSED, ROOM_CLEAR, SERVICE_LEAST, TICK, Fleet, Server
 
@@ -30,7 +30,7 @@
 RETRY_START, RETRY_MOST = 15.0, 30.0  # retries over all gateways at the start; that may be saved up
 
 
-class Gateway(LeaseDecisions):
+class GatewayPolicy(LeaseDecisions):
     """All decisions of one gateway."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
@@ -39,11 +39,11 @@
         self.uses = {
             (p, level): PlanUse(now, share) for p in self.set.plans for level, share in enumerate(GRANT_PRIOR)
         }
-        self.accounts: dict[str, Account] = {}  # in order of their last request
+        self.tenant_quotas: dict[str, TenantQuota] = {}  # in order of their last request
         self.requests, self.queue = dict[str, PendingRequest](), list[PendingRequest]()
         self.calls: dict[int, list[Call]] = {}  # by count name, in order of the calls
         self.units = 0.0  # running mean of a request's
-        self.budget = RETRY_START / settings.gateways
+        self.retry_budget = RETRY_START / settings.gateways
         self.top = max(c.worth for c in settings.classes.values())
         self.checks: list[tuple[float, str]] = []  # when which request is to be looked at
         self.timer_at = self.watch_at = math.inf
@@ -60,9 +60,9 @@
         self.fleet.proceed()
         match event:
             case api.Request():
-                self.request(now, event)
+                self.on_request(now, event)
             case api.Outcome():
-                self.outcome(now, event)
+                self.on_outcome(now, event)
             case api.Counted():
                 self.counted(now, event)
             case api.Timer():
@@ -76,7 +76,7 @@
             case api.Began() if event.id in self.requests:
                 self.requests[event.id].streaming = True
             case api.Gone() if event.id in self.requests:
-                self.close(now, self.requests[event.id])
+                self.finish(now, self.requests[event.id])
         self.drain_queue(now)
         while self.checks and self.checks[0][1] not in self.requests:
             heapq.heappop(self.checks)
@@ -88,15 +88,15 @@
             self.out.append(api.SetTimer(max(0.0, at - now), 0))
         return self.out
 
-    def request(self, now: float, req: api.Request) -> None:
+    def on_request(self, now: float, req: api.Request) -> None:
         cls, plan = self.set.classes[req.cls], self.set.plans[req.plan]
-        acct = self.accounts.pop(req.customer, None)
+        acct = self.tenant_quotas.pop(req.customer, None)
         if acct is None:
-            acct = Account(req, plan, self.born, now, self.rng)
-        self.accounts[req.customer], acct.seen_at = acct, now
+            acct = TenantQuota(req, plan, self.born, now, self.rng)
+        self.tenant_quotas[req.customer], acct.seen_at = acct, now
         self.free_accounts(now)
         worth = cls.worth * plan.price * req.units
-        self.worth += (GAIN if self.worth else 1.0) * (worth - self.worth)
+        self.worth += (EWMA_WEIGHT if self.worth else 1.0) * (worth - self.worth)
         value = worth / max(self.fleet.mean[cls.name], 1e-6)
         keys = ("host", "class " + cls.name, "plan " + plan.name)
         pending = PendingRequest(req, cls, plan, acct, now, now + req.left, worth, value, keys)
@@ -106,7 +106,7 @@
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
         elif self.shed(now, pending):
             self.refuse(now, pending, RefusalReason.LOAD_SHED)
-        elif acct.ceiling_room(now) < req.units:
+        elif acct.available_ceiling_units(now) < req.units:
             wait = (req.units - acct.cap) * acct.spread / plan.ceiling_rate
             self.refuse(now, pending, RefusalReason.CEILING, wait)
         elif plan.rate:
@@ -117,19 +117,19 @@
     def work(self, pending: PendingRequest) -> float:
         """What a request is expected to take, over the mean: units tell it where requests differ in them."""
         units = pending.req.units
-        self.units += (GAIN if self.units else 1.0) * (units - self.units)
+        self.units += (EWMA_WEIGHT if self.units else 1.0) * (units - self.units)
         if self.set.most_units > 1:
             return units / max(self.units, LEAST_UNITS)
         return self.fleet.mean[pending.cls.name] / max(self.fleet.service, SERVICE_LEAST)
 
     def free_accounts(self, now: float) -> None:
         """Many customers come only once. Past its windows an account tells no more than a new one would."""
-        for oldest in list(itertools.islice(self.accounts.values(), FREED_AT_ONCE)):
-            if now - oldest.seen_at <= max(IDLE_MOST, 3 * oldest.length):
+        for oldest in list(itertools.islice(self.tenant_quotas.values(), FREED_AT_ONCE)):
+            if now - oldest.seen_at <= max(IDLE_MOST, 3 * oldest.window_length):
                 return
-            del self.accounts[oldest.name]
+            del self.tenant_quotas[oldest.name]
             if oldest.call or oldest.open_here or oldest.waiting:  # a busy one holds up none behind it
-                self.accounts[oldest.name], oldest.seen_at = oldest, now
+                self.tenant_quotas[oldest.name], oldest.seen_at = oldest, now
 
     def shed(self, now: float, pending: PendingRequest) -> bool:
         """While answers come from servers that hold too much, what is worth least a unit of work is refused,
@@ -143,7 +143,9 @@
         luck, most = self.rng.random(), (1 - self.pass_share) * len(ranks) * (self.set.gateways > LIMIT_MOST)
         return most > 0 and luck * ranks.count(pending.value) + sum(v < pending.value for v in ranks) < most
 
-    def beyond(self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0) -> None:
+    def handle_over_quota(
+        self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0
+    ) -> None:
         clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST and not self.queue
         if pending.plan.over_worth > pending.plan.over_cost and clear:
             pending.beyond = True
@@ -153,7 +155,7 @@
 
     def enqueue(self, now: float, pending: PendingRequest) -> None:
         acct, units = pending.acct, pending.req.units
-        if acct.ceiling_room(now) < units:
+        if acct.available_ceiling_units(now) < units:
             self.refuse(now, pending, RefusalReason.CEILING)
             return
         acct.cap -= units  # spent before sending
@@ -185,9 +187,9 @@
             self.out.append(api.Refuse(pending.req.id, min(max(wait, 0.0), most), reason.value))
         else:
             self.out.append(api.Fail(pending.req.id, reason.value))
-        self.close(now, pending)
+        self.finish(now, pending)
 
-    def close(self, now: float, pending: PendingRequest) -> None:
+    def finish(self, now: float, pending: PendingRequest) -> None:
         pending.done = True
         self.requests.pop(pending.req.id, None)
         self.out += [api.Cancel(pending.req.id, number) for number in pending.live if self.set.limits.cancel]
@@ -195,11 +197,11 @@
             self.count_open(pending.acct, pending.slot, -1)
         pending.acct.open_here -= pending.slot < 0
 
-    def fits(self, pending: PendingRequest, s: Server, now: float) -> bool:
+    def is_eligible(self, pending: PendingRequest, s: Server, now: float) -> bool:
         unproven = pending.ran + list(pending.live.values())
         if s.host.id in pending.avoid or not unproven or pending.cls.effect == "safe":
             return s.host.id not in pending.avoid
-        if pending.cls.effect == "unsafe" or now >= self.repeat_until(pending):
+        if pending.cls.effect == "unsafe" or now >= self.retry_deadline(pending):
             return False
         known, scope = [self.fleet.host(h) for h, _ in unproven], pending.cls.scope
         if None in known:
@@ -209,14 +211,14 @@
         place = (lambda h: h.zone) if scope == "zone" else (lambda h: h.cell)
         return all(place(h) == place(s.host) for h in known)
 
-    def repeat_until(self, pending: PendingRequest) -> float:
+    def retry_deadline(self, pending: PendingRequest) -> float:
         """Until when a further attempt may be written; no bound where none before may have run."""
         unproven = pending.ran + list(pending.live.values())
         if pending.cls.effect == "safe" or not unproven:
             return math.inf
         return repeat_until(min(sent for _, sent in unproven), pending.cls.memory)
 
-    def admits_late(self, now: float, id: str, number: int, server: str) -> bool:
+    def admits_delayed_attempt(self, now: float, id: str, number: int, server: str) -> bool:
         """Whether an attempt at a cold server, whose connection came up late, may still be written."""
         pending, s = self.requests.get(id), self.fleet.servers.get(server)
         if pending is None or s is None:
@@ -228,9 +230,9 @@
             return self.fleet.pick(now, pending.keys, None, pending.charge)
         mates = self.cell_mates(pending)
         if mates is not None:
-            fit = [s for s in mates if self.fits(pending, s, now)]
+            fit = [s for s in mates if self.is_eligible(pending, s, now)]
             return self.fleet.best(now, pending.keys, fit, pending.charge)
-        return self.fleet.pick(now, pending.keys, lambda s: self.fits(pending, s, now), pending.charge)
+        return self.fleet.pick(now, pending.keys, lambda s: self.is_eligible(pending, s, now), pending.charge)
 
     def cell_mates(self, pending: PendingRequest) -> list[Server] | None:
         """The servers of the cell that another attempt is bound to, where not all are in view; else None."""
@@ -239,14 +241,14 @@
         host = self.fleet.host(tried[0]) if bound and tried else None
         return self.fleet.cell_mates(host.cell) if host is not None else None
 
-    def send(self, now: float, pending: PendingRequest) -> bool:
+    def send_attempt(self, now: float, pending: PendingRequest) -> bool:
         if pending.begun >= self.set.limits.max_attempts or pending.streaming:
             return False
         s = self.choose(now, pending) if self.set.limits.second_copies or not pending.live else None
         if s is None:
             return False
         cold = s.admission is not None and s.warmth(now, self.set.rules) < 1.0
-        self.out.append(api.Send(pending.req.id, s.host.id, 0, self.repeat_until(pending), cold))
+        self.out.append(api.Send(pending.req.id, s.host.id, 0, self.retry_deadline(pending), cold))
         pending.live[pending.sends] = (s.host.id, now)
         self.fleet.sent(s, (pending.req.id, pending.sends), now, pending.charge)
         pending.sends += 1
@@ -263,20 +265,22 @@
             first = not pending.sends
             if not pending.done:
                 kind = (pending.cls.name, pending.charge > 1.0)
-                if kind in stuck or not self.send(now, pending):
+                if kind in stuck or not self.send_attempt(now, pending):
                     stuck.update([kind] * first)
                     continue
                 if first:
                     clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST
                     share = RETRY_SPARE if clear else RETRY_SHARE
-                    self.budget = min(max(2.0, RETRY_MOST / self.set.gateways), self.budget + share)
+                    self.retry_budget = min(
+                        max(2.0, RETRY_MOST / self.set.gateways), self.retry_budget + share
+                    )
             self.queue.remove(pending)
         if self.queue and self.trial_at <= now:  # no other event may come when a host's rest is over
             trials = [at for s in self.fleet.up for _, at in s.rests.values() if at > now]
             trials += [self.fleet.hindered_until] * (self.fleet.hindered_until > now)
             self.trial_at = min(trials, default=0.0)
 
-    def outcome(self, now: float, event: api.Outcome) -> None:
+    def on_outcome(self, now: float, event: api.Outcome) -> None:
         pending = self.requests.get(event.id)
         cls, keys = (pending.cls, pending.keys) if pending else (None, ("host",))
         self.fleet.answered(now, event, cls, keys)
@@ -286,7 +290,7 @@
         if event.actual and self.set.settles and pending.plan.rate and not pending.beyond:
             pending.acct.uncharged += event.actual - pending.req.units
         if event.final:
-            self.close(now, pending)
+            self.finish(now, pending)
             return
         if event.result in ("error", "timeout", "reset", "cancelled") and sent is not None:
             pending.ran.append(sent)
@@ -302,14 +306,14 @@
         late = now + max(TICK, self.fleet.mean[pending.cls.name]) > pending.deadline or event.result == "moot"
         if late:
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
-        elif self.budget < cost:
+        elif self.retry_budget < cost:
             self.refuse(now, pending, RefusalReason.RETRIES_SPENT)
-        elif self.send(now, pending):
-            self.budget -= cost
+        elif self.send_attempt(now, pending):
+            self.retry_budget -= cost
         elif (free or event.result in ("full", "reset")) and self.may_wait(now, pending):
             # All that it may go to are busy, which is no reason to give up what was turned away or lost. What
             # was silent or erred has had its time at a host, and in overload would take that of others.
-            self.budget -= cost
+            self.retry_budget -= cost
             self.line_up(pending)
             self.check_at(pending.arrived + self.hold(pending), pending)
         else:
@@ -320,7 +324,7 @@
         more = more and now < pending.arrived + self.hold(pending)
         mates = self.cell_mates(pending) if more else None
         servers = self.fleet.up if mates is None else mates
-        return more and any(self.fits(pending, s, now) for s in servers)
+        return more and any(self.is_eligible(pending, s, now) for s in servers)
 
     def check_at(self, at: float, pending: PendingRequest) -> None:
         heapq.heappush(self.checks, (min(at, pending.deadline - 2 * TICK), pending.req.id))
@@ -334,17 +338,17 @@
         while self.checks and self.checks[0][0] <= now + 1e-6:
             name = heapq.heappop(self.checks)[1]
             if name in self.requests:
-                self.check(now, self.requests[name])
+                self.check_request(now, self.requests[name])
 
-    def check(self, now: float, pending: PendingRequest) -> None:
+    def check_request(self, now: float, pending: PendingRequest) -> None:
         ending = now >= pending.deadline - 2 * TICK - 1e-6
         most = {"units": 2 * self.counter.timeout, "queue": self.hold(pending)}.get(pending.stage, math.inf)
         if pending.stage != "sent" and (ending or now - pending.arrived >= most - 1e-6):
             self.refuse(now, pending, RefusalReason.WAITED)
         elif pending.stage == "sent" and not ending and not pending.streaming:
-            self.late(now, pending)
+            self.handle_late_attempts(now, pending)
 
-    def late(self, now: float, pending: PendingRequest) -> None:
+    def handle_late_attempts(self, now: float, pending: PendingRequest) -> None:
         """An attempt long without answer: evidence against its host, and reason for another one, whatever the
         cause. Harm: work done twice where an answer was only slow, so it draws on the budget for retries."""
         patience = self.fleet.patience(pending.cls.name) - TICK
@@ -355,10 +359,10 @@
             self.fleet.detector.note(pending.live[number][0], pending.keys, True, now)
         pending.late.update(late)
         self.check_at(now + max(2 * TICK, self.fleet.dev[pending.cls.name]), pending)
-        if not late or len(pending.live) > 1 or pending.cls.effect == "unsafe" or self.budget < 1.0:
+        if not late or len(pending.live) > 1 or pending.cls.effect == "unsafe" or self.retry_budget < 1.0:
             return
         if self.set.limits.second_copies:
-            self.budget -= self.send(now, pending)
+            self.retry_budget -= self.send_attempt(now, pending)
         elif (
             self.set.limits.cancel
             and pending.begun < self.set.limits.max_attempts
--- a/calicomast/quota.py
+++ b/calicomast/quota.py
@@ -25,7 +25,8 @@
 LOAD_COST = 0.2  # least cost of a unit sent on beyond quota, in its worth: it loads what all share
 BACKOFF_MOST = 1.0  # s; longest pause between tries of a counter that does not answer
 PART_GAIN = 0.5  # weight of the latest window in the part of a customer's use that passes here
-GAIN, QUICK = 0.05, 0.15  # weight of a new answer in means; where a change must show in a few answers
+# Weight of a new answer in means; where a change must show in a few answers.
+EWMA_WEIGHT, FAST_EWMA_WEIGHT = 0.05, 0.15
 
 
 def stable_hash(*parts: object) -> int:
@@ -35,7 +36,7 @@
 
 @dataclass(slots=True)
 class Call:
-    acct: Account
+    acct: TenantQuota
     kind: str  # units, slot or void
     window: int
     charge: float = 0.0
@@ -49,15 +50,15 @@
         return self.charge + self.ask + self.extra - self.spare
 
 
-class Account:
+class TenantQuota:
     def __init__(self, req: api.Request, plan: api.Plan, born: float, now: float, rng: random.Random) -> None:
         self.name, self.plan, self.spread, self.open_here = req.customer, plan, req.spread, 0
         self.thin = 0 < plan.burst < self.spread  # an even part of the burst is less than a unit
         self.refill = plan.burst / plan.rate if plan.rate else 1.0  # s in which an empty store fills
-        self.length = self.refill * (THIN_WINDOW if self.thin else 1.0)
-        self.phase = stable_hash(self.name, "phase") % 4096 / 4096 * self.length
+        self.window_length = self.refill * (THIN_WINDOW if self.thin else 1.0)
+        self.phase = stable_hash(self.name, "phase") % 4096 / 4096 * self.window_length
         self.k = self.window(now)
-        self.start = self.k * self.length + self.phase
+        self.window_start = self.k * self.window_length + self.phase
         self.spare = 0.0  # units added here by calls whose answers were spoilt: ours, but not leased yet
         self.part = 1.0 / self.spread  # of the customer's use that passes here
         self.carried = 0.0  # part of the total that is no use in this window
@@ -70,7 +71,7 @@
         self.cap_at, self.cap = now, min(plan.ceiling_burst, (now - born) * plan.ceiling_rate) / self.spread
 
     def window(self, now: float) -> int:
-        return math.floor((now - self.phase) / self.length)
+        return math.floor((now - self.phase) / self.window_length)
 
     def roll(self, now: float) -> None:
         """Turn to the window of `now`: leases lapse; what passed the burst is carried as debt."""
@@ -80,10 +81,10 @@
         if self.put > 0 and self.total - self.carried >= 1:  # the counter told what all passed
             part = min(1.0, self.used / (self.total - self.carried))
             self.part += PART_GAIN * (part - self.part)
-        refilled = self.plan.rate * self.length * (k - self.k)
+        refilled = self.plan.rate * self.window_length * (k - self.k)
         debt = max(0.0, self.total + self.uncharged * self.spread - refilled)
         self.last_used = self.used if k == self.k + 1 else 0.0
-        self.k, self.start = k, k * self.length + self.phase
+        self.k, self.window_start = k, k * self.window_length + self.phase
         self.lease = self.uncharged = self.put = self.used = self.full_until = 0.0
         self.spare = self.unsure = 0.0
         self.carried = debt
@@ -100,12 +101,12 @@
         return bisect.bisect(LEVELS, demand * self.spread / (span * self.plan.rate))
 
     def hold(self, now: float) -> float:
-        return self.plan.burst + self.plan.rate * (now - self.start)
+        return self.plan.burst + self.plan.rate * (now - self.window_start)
 
-    def room(self, now: float) -> float:
+    def available_units(self, now: float) -> float:
         return min(self.plan.burst, self.hold(now) - self.total) - self.uncharged
 
-    def allowance(self, now: float, silent: bool) -> float:
+    def local_allowance(self, now: float, silent: bool) -> float:
         """Of the room, what may pass here uncharged. While the counter is away that is the part that passed
         here before: a customer's traffic is uneven, and an even part refuses most of it. Harm: where it has
         just moved, the gateway that it left and the one that it came to may both pass theirs."""
@@ -118,7 +119,7 @@
         w = math.sqrt(c1 * max(self.last_used, self.used) / max(STRAND_MIN, full * full))
         return max(1, int(min(w, self.plan.burst, max(self.last_used, self.used, 1.0))))
 
-    def ceiling_room(self, now: float) -> float:
+    def available_ceiling_units(self, now: float) -> float:
         plan = self.plan
         if not plan.ceiling_rate:
             return math.inf
@@ -143,8 +144,10 @@
 
     def note(self, now: float, result: str, elapsed: float) -> None:
         """A call turned away tells of a crowd: calls get dearer, but the counter is there and keeps count."""
-        self.turned += GAIN * ((result == "full") - self.turned)
-        self.slow += QUICK * ((min(1.0, elapsed / self.timeout) if result == "ok" else 1.0) - self.slow)
+        self.turned += EWMA_WEIGHT * ((result == "full") - self.turned)
+        self.slow += FAST_EWMA_WEIGHT * (
+            (min(1.0, elapsed / self.timeout) if result == "ok" else 1.0) - self.slow
+        )
         if result in ("ok", "full"):
             self.fails = 0
         elif now >= self.retry_at:  # a burst of failures counts once
@@ -166,7 +169,7 @@
     def note(self, now: float, asked: float, granted: float) -> None:
         self.refill(now)
         self.seen += 1
-        self.share += max(GAIN, 1 / self.seen) * (min(1.0, granted / asked) - self.share)
+        self.share += max(EWMA_WEIGHT, 1 / self.seen) * (min(1.0, granted / asked) - self.share)
         faded = self.rate * math.exp((self.noted - now) / USE_SPAN)
         self.rate, self.noted = faded + granted / USE_SPAN, now
 
--- a/calicomast/servers.py
+++ b/calicomast/servers.py
@@ -16,7 +16,7 @@
 from calicomast.admission import ColdAdmission
 from calicomast.health import FailureDetector
 from calicomast.membership import Membership
-from calicomast.quota import GAIN, QUICK
+from calicomast.quota import EWMA_WEIGHT, FAST_EWMA_WEIGHT
 
 TICK = 0.02  # s; coarsest delay of a check on held requests and copies; far under any aim
 GONE_MOST = 30.0  # s that a host which is gone is known: longer than any attempt or repeat on it matters
@@ -322,20 +322,20 @@
             if held is None:
                 held = event.report.get("queue", 0.0) + SERVERS_OF_HOST * event.report.get("util", 0.0)
             s.others, s.others_at = max(0.0, held - out), now
-            self.held += (QUICK if self.reports else 1.0) * (held - self.held)
+            self.held += (FAST_EWMA_WEIGHT if self.reports else 1.0) * (held - self.held)
             self.reports, high = True, held > CONGESTED
         if event.result in ("connect_failed", "full", "error", "reset", "ok"):
             level = keys[:1] if event.result == "connect_failed" else keys
             self.detector.note(event.host, level, event.result != "ok", now)
             s.tried(now, level[:2], event.result == "ok")
         if event.report or event.result in ("ok", "timeout"):
-            gain = max(QUICK / 2, 1 - math.exp((self.answer_at - now) / PRESS_SPAN))
+            gain = max(FAST_EWMA_WEIGHT / 2, 1 - math.exp((self.answer_at - now) / PRESS_SPAN))
             self.pressure, self.answer_at = self.pressure + min(gain, 0.5) * (high - self.pressure), now
         if event.result != "ok" or cls is None:
             return
-        s.ratio += QUICK * (min(event.elapsed / max(self.mean[cls.name], 1e-6), 10.0) - s.ratio)
+        s.ratio += FAST_EWMA_WEIGHT * (min(event.elapsed / max(self.mean[cls.name], 1e-6), 10.0) - s.ratio)
         self.seen[cls.name] += 1
-        gain, off = max(1 / self.seen[cls.name], GAIN), event.elapsed - self.mean[cls.name]
+        gain, off = max(1 / self.seen[cls.name], EWMA_WEIGHT), event.elapsed - self.mean[cls.name]
         self.mean[cls.name] += gain * off
         self.service += gain * (event.elapsed - self.service)
         self.dev[cls.name] += gain * (abs(off) * (1 - gain) - self.dev[cls.name])
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -8,7 +8,7 @@
 from dataclasses import asdict, dataclass
 
 from calicomast import interface as api
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 from emulator.counter_model import CounterModel
 from emulator.server_model import ServerModel
 from emulator.virtual_time import Simulation
@@ -91,8 +91,8 @@
         self._lives = [0] * gateways  # starts of each gateway; what an earlier life waits for is dropped
         self.gateways = [self._new_gateway(index) for index in range(gateways)]
 
-    def _new_gateway(self, index: int) -> Gateway:
-        return Gateway(self.settings(index), self._random.randrange(2**32), self.simulation.now)
+    def _new_gateway(self, index: int) -> GatewayPolicy:
+        return GatewayPolicy(self.settings(index), self._random.randrange(2**32), self.simulation.now)
 
     def restart(self, index: int) -> None:
         """Starts a gateway anew: it has no list, and all that it had in work is lost."""
--- a/emulator/scenarios/accounts.py
+++ b/emulator/scenarios/accounts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from calicomast import interface as api
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 from emulator.deployment import GATEWAYS_AT_TARGET, Deployment
 from emulator.measure import memory_megabytes
 from emulator.scenarios.base import Options, Row, Scenario, ladder
@@ -16,8 +16,8 @@
     """One request of each of so many tenants within one second, answered at once."""
     deployment = Deployment(gateways, SERVERS, tenants)
 
-    def see_all() -> Gateway:
-        gateway = Gateway(deployment.settings(0), seed, 1000.0)
+    def see_all() -> GatewayPolicy:
+        gateway = GatewayPolicy(deployment.settings(0), seed, 1000.0)
         gateway.handle(1000.0, api.HostList("cached", 1, deployment.hosts()))
         for number in range(tenants):
             now = 1000.0 + number / tenants
@@ -31,7 +31,7 @@
         return gateway
 
     gateway, kept, _ = memory_megabytes(see_all)
-    return {"tenants": tenants, "accounts_held": len(gateway.accounts), "memory_mb": kept}
+    return {"tenants": tenants, "accounts_held": len(gateway.tenant_quotas), "memory_mb": kept}
 
 
 def run(options: Options) -> list[Row]:
--- a/emulator/scenarios/membership.py
+++ b/emulator/scenarios/membership.py
@@ -7,7 +7,7 @@
 from calicomast import interface as api
 from calicomast.net.listing import Listing, read_list
 from calicomast.net.server_table import ServerTable
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 from emulator.deployment import GATEWAYS_AT_TARGET, SERVERS_AT_TARGET, Deployment
 from emulator.measure import cpu_seconds, executed_lines, memory_megabytes
 from emulator.scenarios.base import Options, Row, Scenario, ladder
@@ -31,7 +31,7 @@
     """The module, and the network code's table that hands lists to it."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
-        self.gateway = Gateway(deployment.settings(0), seed, 1000.0)
+        self.gateway = GatewayPolicy(deployment.settings(0), seed, 1000.0)
         self.table = ServerTable(lambda event: self.gateway.handle(1000.0, event), lambda server: None)
 
     def take(self, listing: Listing) -> None:
--- a/emulator/scenarios/subsets.py
+++ b/emulator/scenarios/subsets.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from calicomast import interface as api
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 from emulator.deployment import GATEWAYS_AT_TARGET, SERVERS_AT_TARGET, Deployment
 from emulator.scenarios.base import Options, Row, Scenario, ladder
 
@@ -13,7 +13,7 @@
 REPLACED = 0.01  # part of the servers that is replaced to see what moves
 
 
-def subset(gateway: Gateway) -> set[str]:
+def subset(gateway: GatewayPolicy) -> set[str]:
     """The ids of the servers that a gateway keeps to."""
     return {server.host.id for server in gateway.fleet.subset}
 
@@ -27,7 +27,7 @@
     covered: Counter[str] = Counter({host.id: 0 for host in hosts})
     sizes, moved, kept_names = [], 0, 0
     for index in range(deployment.gateways):
-        gateway = Gateway(deployment.settings(index), seed, 1000.0)
+        gateway = GatewayPolicy(deployment.settings(index), seed, 1000.0)
         gateway.handle(1000.0, api.HostList("cached", 1, hosts))
         before = subset(gateway)
         covered.update(before)
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -142,8 +142,8 @@
 
 def quotas_hold() -> None:
     """No account is ever spent."""
-    quota.Account.room = lambda self, now: 1e9  # type: ignore[method-assign]
-    quota.Account.allowance = lambda self, now, silent: 1e9  # type: ignore[method-assign]
+    quota.TenantQuota.available_units = lambda self, now: 1e9  # type: ignore[method-assign]
+    quota.TenantQuota.local_allowance = lambda self, now, silent: 1e9  # type: ignore[method-assign]
 
 
 def bad_clients_are_answered() -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """A scripted world for one or several gateways: it answers nothing by itself."""
 
 from calicomast import interface as api
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 
 READ = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 1.0, 0.0, False, 0.0)
 WRITE = api.ServiceClass("write", 1.0, 3.0, "keyed", "zone", 1.0, 3.0, 0.0, False, 0.0)
@@ -72,7 +72,7 @@
 class World:
     def __init__(self, conf=None, hosts=None, seed=1, start=1000.0):
         self.now, self.conf = start, conf or settings()
-        self.gw = Gateway(self.conf, seed, start)
+        self.gw = GatewayPolicy(self.conf, seed, start)
         self.log, self.ids = [], 0
         self.counts = {}
         self.mode = "answer"  # or "silent", "refuse", "hold"
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -213,7 +213,7 @@
     """Lines of Python that a further attempt takes after one that was reset."""
     w = world(listed(servers), gateways=gateways)
     (send,) = of(w.ask()[1], api.Send)
-    w.gw.budget, sent = 5.0, []  # a gateway of many may have to wait for a retry
+    w.gw.retry_budget, sent = 5.0, []  # a gateway of many may have to wait for a retry
     lines = executed_lines(lambda: sent.extend(of(w.end(send, "reset"), api.Send)))
     assert len(sent) == 1 and sent[0].host != send.host
     return lines
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -133,8 +133,8 @@
         while any(line.transport is None for line in node.node.counter.lines):
             await asyncio.sleep(0)
         await node.ask(command())
-        (acct,) = node.node.module.accounts.values()
-        now = acct.start + acct.length + 1.0  # early in a window, whenever this runs
+        (acct,) = node.node.module.tenant_quotas.values()
+        now = acct.window_start + acct.window_length + 1.0  # early in a window, whenever this runs
         node.node.clock = lambda: now
         await node.ask(command(b"r"))
         acct.debt = 10 / 3  # an overdraft of the last window, brought along once the first call is answered
@@ -155,8 +155,9 @@
             return (await node.ask(command(b"r%d" % n, terms(spread=2)))) == SERVED
 
         await ask(1)
-        (acct,) = node.node.module.accounts.values()
-        now = acct.start + acct.length + 0.5  # at the same place of its windows, whenever this runs
+        (acct,) = node.node.module.tenant_quotas.values()
+        # At the same place of its windows, whenever this runs.
+        now = acct.window_start + acct.window_length + 0.5
         for window in range(4):  # all that the counter tells of is used here, though two could
             node.node.clock = lambda at=now + 2 * window: at
             for n in range(14):
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -68,7 +68,7 @@
     n = served(w, 60)
     assert n <= 8 / 2 + 2 * (w.now - start) + 4  # the even share, never a lease
     assert all(not j.stage == "units" for j in w.gw.requests.values())
-    assert w.gw.accounts["c"].lease == 0
+    assert w.gw.tenant_quotas["c"].lease == 0
 
 
 def test_silent_counter_calls_back_off():
@@ -159,7 +159,7 @@
     w = World()
     acct_len = 4.0
     w.ask()
-    phase = w.gw.accounts["c"].start
+    phase = w.gw.tenant_quotas["c"].window_start
     w.now = phase + 2 * acct_len - 0.5  # late in a window that nothing was drawn in
     n = served(w, 60)
     assert n <= 8 + 4 + 1  # the burst, and what its even part passed uncharged
@@ -174,7 +174,7 @@
         for w in (a, b):
             w.now = max(a.now, b.now)
             served(w, 60)
-        start = a.gw.accounts["c"].start
+        start = a.gw.tenant_quotas["c"].window_start
         a.now = b.now = start + 4.0 + 0.001
         assert max(a.counts.values()) <= 40 + 10 * 4 + 3, turn  # never more owed than was drawn
 
@@ -235,14 +235,14 @@
         acts = w.ask()[1]
         calls, n = calls + of(acts, api.Count), n + len(of(acts, api.Send))
     acts = w.do(api.Counted(calls[0].name, "timeout", 0, 0.05))
-    assert w.gw.accounts["c"].lease == 0 and n + len(of(acts, api.Send)) <= 5
+    assert w.gw.tenant_quotas["c"].lease == 0 and n + len(of(acts, api.Send)) <= 5
     assert len(of(acts, api.Refuse)) >= 3
 
 
 def test_what_a_quiet_half_lets_pass_too_much_is_taken_from_the_next_window():
     w = World(settings(plans=[plan(rate=2.0, burst=40.0)]))
     w.ask()
-    w.now = w.gw.accounts["c"].start + 2 * 20.0 - 0.5
+    w.now = w.gw.tenant_quotas["c"].window_start + 2 * 20.0 - 0.5
     n, start = served(w, 120), w.now
     assert n <= 80
     w.now += 1.0
@@ -280,7 +280,7 @@
         for send in of(w.ask(f"c{n}")[1], api.Send):
             w.end(send)
         w.now += 0.1
-    assert len(w.gw.accounts) < 350 and busy
+    assert len(w.gw.tenant_quotas) < 350 and busy
 
 
 def test_a_spoilt_answer_of_the_counter_does_not_stop_the_next_call():
@@ -345,7 +345,7 @@
     w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
     w.mode = "hold"
     call = next_call(w)
-    w.gw.accounts["c"].debt = 5.0
+    w.gw.tenant_quotas["c"].debt = 5.0
     w.do(api.Counted(call.name, "timeout", 0.0, 0.002))  # its line broke: it may have been added
     second = next_call(w)
     acts = w.do(api.Counted(call.name, "ok", call.amount + second.amount, 0.002))
@@ -356,7 +356,7 @@
     w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
     w.mode = "hold"
     call = next_call(w)
-    w.gw.accounts["c"].debt = 5.0
+    w.gw.tenant_quotas["c"].debt = 5.0
     assert of(w.do(api.Counted(call.name, "ok", call.amount, 0.002)), api.Count)
     w.do(api.Counted(call.name, "full", 0.0, 0.002))  # the overdraft
     second = next_call(w)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -217,7 +217,7 @@
         for s in of(w.ask(customer=f"c{k}")[1], api.Send):
             w.end(s)
         w.now += 1.0
-    assert len(w.gw.accounts) < 70
+    assert len(w.gw.tenant_quotas) < 70
 
 
 def test_overload_of_servers_sheds_what_is_worth_least_with_many_gateways():
