--- a/calicomast/leases.py
+++ b/calicomast/leases.py
@@ -13,12 +13,12 @@
 from calicomast import interface as api
 from calicomast.pending import PendingRequest
 from calicomast.quota import (
-    CHARGE_AT,
-    CROWDED,
-    USE_SPAN,
-    Call,
-    Counter,
-    PlanUse,
+    CHARGE_THRESHOLD,
+    CONTENTION_LATENCY,
+    GRANT_AVERAGING_TIME,
+    CounterCall,
+    CounterMonitor,
+    GrantStatistics,
     TenantQuota,
     stable_hash,
 )
@@ -47,10 +47,10 @@
     set: api.Settings
     rng: random.Random
     fleet: Fleet
-    counter: Counter
-    uses: dict[tuple[str, int], PlanUse]
+    counter: CounterMonitor
+    uses: dict[tuple[str, int], GrantStatistics]
     requests: dict[str, PendingRequest]
-    calls: dict[int, list[Call]]
+    calls: dict[int, list[CounterCall]]
     worth: float
     top: float
     inside: float
@@ -74,60 +74,62 @@
 
     def kept(self, pending: PendingRequest) -> float:
         """Kept for classes that earn more with a unit; binds subset the end of a quota only."""
-        return RESERVE * pending.plan.burst * (1 - pending.cls.worth / self.top) if self.top else 0.0
+        return (
+            RESERVE * pending.plan.burst * (1 - pending.service_class.worth / self.top) if self.top else 0.0
+        )
 
     def spare(self, now: float, pending: PendingRequest) -> float:
-        return pending.acct.available_units(now) - self.kept(pending) - pending.req.units
+        return pending.tenant.available_units(now) - self.kept(pending) - pending.req.units
 
     def take_units(self, now: float, pending: PendingRequest) -> bool:
-        acct, units = pending.acct, pending.req.units
-        if self.spare(now, pending) + acct.lease < 0:
+        tenant, units = pending.tenant, pending.req.units
+        if self.spare(now, pending) + tenant.lease < 0:
             return False
-        left = acct.local_allowance(now, self.counter.fails > 0) - acct.uncharged
-        if acct.lease >= units:
-            acct.lease -= units
+        left = tenant.local_allowance(now, self.counter.failures > 0) - tenant.uncharged
+        if tenant.lease >= units:
+            tenant.lease -= units
         # What is less than a request is rounded at random, once a window: over all gateways it comes out.
-        elif acct.available_units(now) >= units and left >= units * (1 - acct.rounding):
-            acct.uncharged += units
+        elif tenant.available_units(now) >= units and left >= units * (1 - tenant.rounding):
+            tenant.uncharged += units
         else:
             return False
-        acct.used += units
-        self.inside += pending.worth
+        tenant.used += units
+        self.inside += pending.value
         self.want_slot(now, pending)
         return True
 
     def want_units(self, now: float, pending: PendingRequest) -> None:
-        pending.acct.roll(now)
-        pending.level = pending.acct.tried(now)
-        use = self.uses[pending.plan.name, pending.level]
-        gain = pending.worth / max(self.worth, 1e-9) * min(use.share, use.mistake(pending.plan))
-        chance = self.counter.chance(gain)
+        pending.tenant.advance_window(now)
+        pending.demand_level = pending.tenant.record_request(now)
+        use = self.uses[pending.plan.name, pending.demand_level]
+        gain = pending.value / max(self.worth, 1e-9) * min(use.granted_share, use.expected_loss(pending.plan))
+        chance = self.counter.call_probability(gain)
         self.decide(now, pending, self.rng.random() < chance)
         # It stands for those that pass unasked too.
-        self.renew(now, pending.acct, 1 / max(chance, 1 / SAMPLE_MOST))
+        self.renew(now, pending.tenant, 1 / max(chance, 1 / SAMPLE_MOST))
 
     def decide(self, now: float, pending: PendingRequest, ask: bool) -> None:
-        acct, room = pending.acct, pending.acct.available_units(now)
+        tenant, room = pending.tenant, pending.tenant.available_units(now)
         if self.take_units(now, pending):
             return
-        if now < acct.full_until or self.spare(now, pending) < 0:
-            wait = (pending.req.units - room) / acct.plan.rate
+        if now < tenant.exhausted_until or self.spare(now, pending) < 0:
+            wait = (pending.req.units - room) / tenant.plan.rate
             self.handle_over_quota(now, pending, RefusalReason.QUOTA, wait)
-        elif ask and self.counter.usable(now):
-            acct.waiting.append(pending.req.id)
+        elif ask and self.counter.is_available(now):
+            tenant.waiting.append(pending.req.id)
             self.check_at(now + 2 * self.counter.timeout + TICK, pending)
         else:
             self.decide_without_lease(now, pending)
 
     def decide_without_lease(self, now: float, pending: PendingRequest) -> None:
-        use, units = self.uses[pending.plan.name, pending.level], pending.req.units
-        away, mistake = self.counter.fails > 0, use.mistake(pending.plan)
-        use.refill(now)
-        likely = pending.acct.thin and use.share > mistake and not (away and use.credit < units)
-        if likely and (away or self.risked(now, use.known * mistake * pending.worth)):
+        use, units = self.uses[pending.plan.name, pending.demand_level], pending.req.units
+        away, mistake = self.counter.failures > 0, use.expected_loss(pending.plan)
+        use.refill_credit(now)
+        likely = pending.tenant.low_rate and use.granted_share > mistake and not (away and use.credit < units)
+        if likely and (away or self.risked(now, use.confidence * mistake * pending.value)):
             use.credit -= units * away
-            self.inside += use.share * pending.worth
-            pending.acct.used += units
+            self.inside += use.granted_share * pending.value
+            pending.tenant.used += units
             self.want_slot(now, pending)
         else:
             self.handle_over_quota(now, pending, RefusalReason.QUOTA_UNKNOWN)
@@ -136,31 +138,36 @@
         """Whether a try may pass unasked, which loses `loss` in the mean. What all such tries lose is bounded
         by the part of calls that is turned away: 7.5 in 100 of what passes where that is a fifth. A counter
         that is slow or silent is so for a while; one that turns calls away bears fewer than there are."""
-        fade = math.exp((self.faded_at - now) / USE_SPAN)
+        fade = math.exp((self.faded_at - now) / GRANT_AVERAGING_TIME)
         self.inside, self.risk, self.faded_at = self.inside * fade, self.risk * fade + loss, now
-        return self.rng.random() * self.risk * self.counter.turned <= UNASKED_LOSS * self.inside
+        return self.rng.random() * self.risk * self.counter.rejected_share <= UNASKED_LOSS * self.inside
 
-    def renew(self, now: float, acct: TenantQuota, factor: float = 1.0) -> None:
-        if acct.call is not None or not self.counter.usable(now):
+    def renew(self, now: float, tenant: TenantQuota, factor: float = 1.0) -> None:
+        if tenant.outstanding_call is not None or not self.counter.is_available(now):
             return
-        need = sum(self.requests[i].req.units for i in acct.waiting if i in self.requests)
-        w, room = acct.block(self.counter.price + CROWD * self.counter.slow**2), acct.available_units(now)
-        more = acct.lease < w / 2 and room > w * acct.spread and now >= acct.full_until
-        due = acct.uncharged > max(1.0, CHARGE_AT * acct.local_allowance(now, False))
-        if not (need or due or (acct.put and more)):
+        need = sum(self.requests[i].req.units for i in tenant.waiting if i in self.requests)
+        w, room = (
+            tenant.lease_size(self.counter.price + CROWD * self.counter.latency**2),
+            tenant.available_units(now),
+        )
+        more = tenant.lease < w / 2 and room > w * tenant.spread and now >= tenant.exhausted_until
+        due = tenant.uncharged > max(1.0, CHARGE_THRESHOLD * tenant.local_allowance(now, False))
+        if not (need or due or (tenant.added and more)):
             return
-        ask = max(need, w) - acct.lease if need else w * more
+        ask = max(need, w) - tenant.lease if need else w * more
         ask = max(0, int(min(math.ceil(ask), max(room, 0.0))))
-        if ask + acct.uncharged <= 0:
-            self.decide_waiting(now, acct)
+        if ask + tenant.uncharged <= 0:
+            self.decide_waiting(now, tenant)
             return
         extra = need * (factor - 1)
-        call = acct.call = Call(acct, "units", acct.k, acct.uncharged, ask, extra, acct.spare)
-        acct.total += acct.uncharged
-        acct.uncharged = acct.spare = 0.0
-        self.count(stable_hash(acct.name, acct.k), call.amount, 3 * acct.window_length, call)
+        call = tenant.outstanding_call = CounterCall(
+            tenant, "units", tenant.window, tenant.uncharged, ask, extra, tenant.unclaimed
+        )
+        tenant.total += tenant.uncharged
+        tenant.uncharged = tenant.unclaimed = 0.0
+        self.count(stable_hash(tenant.name, tenant.window), call.amount, 3 * tenant.window_length, call)
 
-    def count(self, name: int, amount: float, life: float, call: Call) -> None:
+    def count(self, name: int, amount: float, life: float, call: CounterCall) -> None:
         self.calls.setdefault(name, []).append(call)
         self.out.append(api.Count(name, amount, min(60.0, max(life, 1.0))))
 
@@ -169,110 +176,120 @@
             return
         call, *rest = self.calls.pop(event.name)
         self.calls.update({event.name: rest} if rest else {})
-        ok, acct = event.result == "ok", call.acct
+        ok, tenant = event.result == "ok", call.tenant
         # A spoilt answer, or a line that broke before the time was up, says nothing of the next call.
         early = event.result == "timeout" and event.elapsed < CALL_SPOILT * self.counter.timeout
         if event.result != "spoilt" and not early:
-            self.counter.note(now, event.result, event.elapsed)
+            self.counter.record_result(now, event.result, event.elapsed)
         if call.kind == "units":
-            acct.call = None
-            acct.roll(now)
-            if call.window == acct.k and ok:
-                self.on_units_counted(now, acct, event.total, call)
-            elif call.window == acct.k and event.result == "spoilt":
-                acct.put += call.amount  # surely added: what was asked for is used up by the next call
-                acct.spare += call.ask
-            elif call.window == acct.k and event.result != "timeout":
-                acct.uncharged += call.charge  # surely not added: the charge is still owed
-                acct.total -= call.charge
-                acct.spare += call.spare
-            elif call.window == acct.k:
-                acct.unsure += call.amount
-            self.decide_waiting(now, acct, event.result != "full")
+            tenant.outstanding_call = None
+            tenant.advance_window(now)
+            if call.window == tenant.window and ok:
+                self.on_units_counted(now, tenant, event.total, call)
+            elif call.window == tenant.window and event.result == "spoilt":
+                tenant.added += call.amount  # surely added: what was asked for is used up by the next call
+                tenant.unclaimed += call.lease
+            elif call.window == tenant.window and event.result != "timeout":
+                tenant.uncharged += call.charge  # surely not added: the charge is still owed
+                tenant.total -= call.charge
+                tenant.unclaimed += call.unclaimed
+            elif call.window == tenant.window:
+                tenant.unconfirmed += call.amount
+            self.decide_waiting(now, tenant, event.result != "full")
         elif call.kind == "slot":
             self.slot_counted(now, event, call)
-        elif call.window == acct.k and event.result not in ("ok", "spoilt"):
-            acct.put -= call.amount  # else what never came into the count would be taken for lost from it
-            acct.unsure += call.amount * (event.result == "timeout")
+        elif call.window == tenant.window and event.result not in ("ok", "spoilt"):
+            tenant.added -= call.amount  # else what never came into the count would be taken for lost from it
+            tenant.unconfirmed += call.amount * (event.result == "timeout")
 
-    def on_units_counted(self, now: float, acct: TenantQuota, total: float, call: Call) -> None:
+    def on_units_counted(self, now: float, tenant: TenantQuota, total: float, call: CounterCall) -> None:
         mine, extra, slack = call.amount, 0.0, ROUNDING * max(1.0, total)
-        if total < acct.put + mine - slack:  # less than what is ours alone: counts were lost; add ours again
-            extra, acct.put = acct.put, 0.0  # the new count holds nothing else of ours
-        elif total <= acct.put + mine + acct.unsure + slack:
-            extra, acct.debt = acct.debt, 0.0  # who finds none but its own brings the overdraft along
+        if (
+            total < tenant.added + mine - slack
+        ):  # less than what is ours alone: counts were lost; add ours again
+            extra, tenant.added = tenant.added, 0.0  # the new count holds nothing else of ours
+        elif total <= tenant.added + mine + tenant.unconfirmed + slack:
+            extra, tenant.debt = tenant.debt, 0.0  # who finds none but its own brings the overdraft along
         # The store holds a burst at most: what a quiet customer let run over is gone.
-        surplus = max(0, int(acct.hold(now) - acct.plan.burst - (total + extra - call.ask)))
-        extra, acct.carried = extra + surplus, acct.carried + surplus
-        pending_requests = [self.requests[i] for i in acct.waiting if i in self.requests]
+        surplus = max(0, int(tenant.window_limit(now) - tenant.plan.burst - (total + extra - call.lease)))
+        extra, tenant.carried = extra + surplus, tenant.carried + surplus
+        pending_requests = [self.requests[i] for i in tenant.waiting if i in self.requests]
         kept = min((self.kept(j) for j in pending_requests), default=0.0)
-        over = min(call.ask, max(0.0, math.ceil(total + extra + kept - acct.hold(now))))
-        acct.put += mine + extra - over
-        acct.total = total + extra - over
-        acct.lease += call.ask - over
-        acct.found_full = now if over > 0 else -math.inf
+        over = min(call.lease, max(0.0, math.ceil(total + extra + kept - tenant.window_limit(now))))
+        tenant.added += mine + extra - over
+        tenant.total = total + extra - over
+        tenant.lease += call.lease - over
+        tenant.found_exhausted_at = now if over > 0 else -math.inf
         need = sum(j.req.units for j in pending_requests)
         if need:
             weight = 1 + call.extra / need
-            use = self.uses[acct.plan.name, pending_requests[0].level]
-            use.note(now, need * weight, min(need, acct.lease) * weight)
-        if self.rng.random() < self.counter.chance(SIDE_CALL):  # in a crowd the excess stays counted
+            use = self.uses[tenant.plan.name, pending_requests[0].demand_level]
+            use.record(now, need * weight, min(need, tenant.lease) * weight)
+        if self.rng.random() < self.counter.call_probability(
+            SIDE_CALL
+        ):  # in a crowd the excess stays counted
             extra -= over
         if extra:
-            call = Call(acct, "void", acct.k, extra=extra)
-            self.count(stable_hash(acct.name, acct.k), extra, 3 * acct.window_length, call)
+            call = CounterCall(tenant, "correction", tenant.window, extra=extra)
+            self.count(stable_hash(tenant.name, tenant.window), extra, 3 * tenant.window_length, call)
 
-    def decide_waiting(self, now: float, acct: TenantQuota, again: bool = True) -> None:
-        waiting, acct.waiting = acct.waiting, []
+    def decide_waiting(self, now: float, tenant: TenantQuota, again: bool = True) -> None:
+        waiting, tenant.waiting = tenant.waiting, []
         pending_requests = [self.requests[i] for i in waiting if i in self.requests]
-        for pending in sorted(pending_requests, key=lambda j: -j.worth / max(j.req.units, 1e-9)):
-            if acct.available_units(now) + acct.lease < pending.req.units:
-                wait = max(0.0, 1 - acct.available_units(now)) / acct.plan.rate
-                crowd = self.counter.slow > CROWDED  # the others wait for the same unit: no call for long
-                acct.full_until = now + wait * (acct.spread if crowd else 1)
-            self.decide(now, pending, again and not self.counter.fails)
-        if acct.waiting:
-            self.renew(now, acct)
+        for pending in sorted(pending_requests, key=lambda j: -j.value / max(j.req.units, 1e-9)):
+            if tenant.available_units(now) + tenant.lease < pending.req.units:
+                wait = max(0.0, 1 - tenant.available_units(now)) / tenant.plan.rate
+                crowd = (
+                    self.counter.latency > CONTENTION_LATENCY
+                )  # the others wait for the same unit: no call for long
+                tenant.exhausted_until = now + wait * (tenant.spread if crowd else 1)
+            self.decide(now, pending, again and not self.counter.failures)
+        if tenant.waiting:
+            self.renew(now, tenant)
 
     def want_slot(self, now: float, pending: PendingRequest, ask: bool = True) -> None:
         """Own even part of the open limit; the rest is shared by a count, asked for what that changes, or
         judged by Little's law from the customer's rate, which its units bound, and the time of answers."""
-        acct, plan = pending.acct, pending.plan
-        own, shared = divmod(plan.open_limit, acct.spread)
-        rate = max(acct.total, acct.used) / max(now - acct.window_start, acct.window_length / 4)
-        mean = min(rate, plan.rate or rate) / max(pending.req.units, 1e-9) * self.fleet.mean[pending.cls.name]
+        tenant, plan = pending.tenant, pending.plan
+        own, shared = divmod(plan.open_limit, tenant.spread)
+        rate = max(tenant.total, tenant.used) / max(now - tenant.window_start, tenant.window_length / 4)
+        mean = (
+            min(rate, plan.rate or rate)
+            / max(pending.req.units, 1e-9)
+            * self.fleet.mean[pending.service_class.name]
+        )
         over = 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.open_limit))
         cost = max(0.0, plan.over_cost - plan.over_worth)
         pending.stage = "slot"
-        if acct.open_here < own:
-            pending.slot = -1
-            acct.open_here += 1
+        if tenant.own_slots_in_use < own:
+            pending.held_slot = -1
+            tenant.own_slots_in_use += 1
         elif (
             shared
             and ask
-            and self.counter.usable(now)
-            and (self.rng.random() < self.counter.chance(max(over, SIDE_CALL) * cost))
+            and self.counter.is_available(now)
+            and (self.rng.random() < self.counter.call_probability(max(over, SIDE_CALL) * cost))
         ):
-            self.count_open(acct, int(now / OPEN_EPOCH) + 1, 1, pending)
+            self.count_open(tenant, int(now / OPEN_EPOCH) + 1, 1, pending)
             self.check_at(pending.deadline, pending)
             return
-        elif plan.open_limit and (plan.open_limit >= acct.spread or over * cost >= 1 - over):
+        elif plan.open_limit and (plan.open_limit >= tenant.spread or over * cost >= 1 - over):
             self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT)
             return
         self.enqueue(now, pending)
 
     def count_open(
-        self, acct: TenantQuota, epoch: int, amount: int, pending: PendingRequest | None = None
+        self, tenant: TenantQuota, epoch: int, amount: int, pending: PendingRequest | None = None
     ) -> None:
-        call = Call(acct, "slot" if pending else "void", epoch, pending=pending)
-        self.count(stable_hash("open", acct.name, epoch), amount, 2 * OPEN_EPOCH, call)
+        call = CounterCall(tenant, "slot" if pending else "correction", epoch, pending=pending)
+        self.count(stable_hash("open", tenant.name, epoch), amount, 2 * OPEN_EPOCH, call)
 
-    def slot_counted(self, now: float, event: api.Counted, call: Call) -> None:
-        pending, acct, ok = call.pending, call.acct, event.result == "ok"
-        if ok and (pending.done or event.total > acct.plan.open_limit % acct.spread):
-            self.count_open(acct, call.window, -1)
-        if ok and not pending.done and event.total > acct.plan.open_limit % acct.spread:
+    def slot_counted(self, now: float, event: api.Counted, call: CounterCall) -> None:
+        pending, tenant, ok = call.pending, call.tenant, event.result == "ok"
+        if ok and (pending.finished or event.total > tenant.plan.open_limit % tenant.spread):
+            self.count_open(tenant, call.window, -1)
+        if ok and not pending.finished and event.total > tenant.plan.open_limit % tenant.spread:
             self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT)
-        elif not pending.done:
-            pending.slot = call.window if ok else 0
+        elif not pending.finished:
+            pending.held_slot = call.window if ok else 0
             self.enqueue(now, pending) if ok else self.want_slot(now, pending, False)
--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -16,7 +16,7 @@
 from calicomast.admission import charge
 from calicomast.leases import LeaseDecisions
 from calicomast.pending import PendingRequest
-from calicomast.quota import EWMA_WEIGHT, Call, Counter, PlanUse, TenantQuota
+from calicomast.quota import EWMA_WEIGHT, CounterCall, CounterMonitor, GrantStatistics, TenantQuota
 from calicomast.rules import RefusalReason, repeat_until
 from calicomast.servers import LIMIT_MOST, PRESS_SPAN, PRESSED, ROOM_CLEAR, SERVICE_LEAST, TICK, Fleet, Server
 
@@ -35,13 +35,15 @@
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
         self.set, self.born, self.rng = settings, now, random.Random(seed)
-        self.fleet, self.counter = Fleet(settings, self.rng), Counter(settings)
+        self.fleet, self.counter = Fleet(settings, self.rng), CounterMonitor(settings)
         self.uses = {
-            (p, level): PlanUse(now, share) for p in self.set.plans for level, share in enumerate(GRANT_PRIOR)
+            (p, level): GrantStatistics(now, share)
+            for p in self.set.plans
+            for level, share in enumerate(GRANT_PRIOR)
         }
         self.tenant_quotas: dict[str, TenantQuota] = {}  # in order of their last request
         self.requests, self.queue = dict[str, PendingRequest](), list[PendingRequest]()
-        self.calls: dict[int, list[Call]] = {}  # by count name, in order of the calls
+        self.calls: dict[int, list[CounterCall]] = {}  # by count name, in order of the calls
         self.units = 0.0  # running mean of a request's
         self.retry_budget = RETRY_START / settings.gateways
         self.top = max(c.worth for c in settings.classes.values())
@@ -90,24 +92,24 @@
 
     def on_request(self, now: float, req: api.Request) -> None:
         cls, plan = self.set.classes[req.cls], self.set.plans[req.plan]
-        acct = self.tenant_quotas.pop(req.customer, None)
-        if acct is None:
-            acct = TenantQuota(req, plan, self.born, now, self.rng)
-        self.tenant_quotas[req.customer], acct.seen_at = acct, now
+        tenant = self.tenant_quotas.pop(req.customer, None)
+        if tenant is None:
+            tenant = TenantQuota(req, plan, self.born, now, self.rng)
+        self.tenant_quotas[req.customer], tenant.last_request_at = tenant, now
         self.free_accounts(now)
         worth = cls.worth * plan.price * req.units
         self.worth += (EWMA_WEIGHT if self.worth else 1.0) * (worth - self.worth)
         value = worth / max(self.fleet.mean[cls.name], 1e-6)
         keys = ("host", "class " + cls.name, "plan " + plan.name)
-        pending = PendingRequest(req, cls, plan, acct, now, now + req.left, worth, value, keys)
+        pending = PendingRequest(req, cls, plan, tenant, now, now + req.left, worth, value, keys)
         self.requests[req.id] = pending
-        pending.charge = charge(self.work(pending), self.rng.random())
+        pending.slow_start_charge = charge(self.work(pending), self.rng.random())
         if req.left < 2 * TICK:  # no check would come round in time
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
         elif self.shed(now, pending):
             self.refuse(now, pending, RefusalReason.LOAD_SHED)
-        elif acct.available_ceiling_units(now) < req.units:
-            wait = (req.units - acct.cap) * acct.spread / plan.ceiling_rate
+        elif tenant.available_ceiling_units(now) < req.units:
+            wait = (req.units - tenant.ceiling_units) * tenant.spread / plan.ceiling_rate
             self.refuse(now, pending, RefusalReason.CEILING, wait)
         elif plan.rate:
             self.want_units(now, pending)
@@ -120,69 +122,78 @@
         self.units += (EWMA_WEIGHT if self.units else 1.0) * (units - self.units)
         if self.set.most_units > 1:
             return units / max(self.units, LEAST_UNITS)
-        return self.fleet.mean[pending.cls.name] / max(self.fleet.service, SERVICE_LEAST)
+        return self.fleet.mean[pending.service_class.name] / max(self.fleet.service, SERVICE_LEAST)
 
     def free_accounts(self, now: float) -> None:
         """Many customers come only once. Past its windows an account tells no more than a new one would."""
         for oldest in list(itertools.islice(self.tenant_quotas.values(), FREED_AT_ONCE)):
-            if now - oldest.seen_at <= max(IDLE_MOST, 3 * oldest.window_length):
+            if now - oldest.last_request_at <= max(IDLE_MOST, 3 * oldest.window_length):
                 return
             del self.tenant_quotas[oldest.name]
-            if oldest.call or oldest.open_here or oldest.waiting:  # a busy one holds up none behind it
-                self.tenant_quotas[oldest.name], oldest.seen_at = oldest, now
+            if (
+                oldest.outstanding_call or oldest.own_slots_in_use or oldest.waiting
+            ):  # a busy one holds up none behind it
+                self.tenant_quotas[oldest.name], oldest.last_request_at = oldest, now
 
     def shed(self, now: float, pending: PendingRequest) -> bool:
         """While answers come from servers that hold too much, what is worth least a unit of work is refused,
         whatever the cause: one gateway of many has too few out for a limit of its own to relieve them."""
-        ranks = self.ranks = [*self.ranks[-63:], pending.value]
+        ranks = self.ranks = [*self.ranks[-63:], pending.value_per_work]
         step, fleet, self.pass_at = now - self.pass_at, self.fleet, now
         if fleet.pressure * math.exp(min(0.0, (fleet.answer_at + 1 - now) / PRESS_SPAN)) > PRESSED:
             self.pass_share = max(SHED_LEAST, self.pass_share * math.exp(-SHED_FAST * min(step, 1.0)))
         else:
             self.pass_share = min(1.0, self.pass_share + SHED_BACK * step)
         luck, most = self.rng.random(), (1 - self.pass_share) * len(ranks) * (self.set.gateways > LIMIT_MOST)
-        return most > 0 and luck * ranks.count(pending.value) + sum(v < pending.value for v in ranks) < most
+        return (
+            most > 0
+            and luck * ranks.count(pending.value_per_work) + sum(v < pending.value_per_work for v in ranks)
+            < most
+        )
 
     def handle_over_quota(
         self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0
     ) -> None:
         clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST and not self.queue
         if pending.plan.over_worth > pending.plan.over_cost and clear:
-            pending.beyond = True
+            pending.over_quota = True
             self.enqueue(now, pending)
         else:
             self.refuse(now, pending, reason, wait)
 
     def enqueue(self, now: float, pending: PendingRequest) -> None:
-        acct, units = pending.acct, pending.req.units
-        if acct.available_ceiling_units(now) < units:
+        tenant, units = pending.tenant, pending.req.units
+        if tenant.available_ceiling_units(now) < units:
             self.refuse(now, pending, RefusalReason.CEILING)
             return
-        acct.cap -= units  # spent before sending
+        tenant.ceiling_units -= units  # spent before sending
         self.line_up(pending)
-        most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * pending.cls.aim)
-        self.queue = [j for j in self.queue if not j.done] if len(self.queue) > most else self.queue
+        most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * pending.service_class.aim)
+        self.queue = [j for j in self.queue if not j.finished] if len(self.queue) > most else self.queue
         # What waits for this machine waits for a moment only: that is no overload.
         if len(self.queue) > most and now >= self.fleet.hindered_until:
             self.refuse(now, self.queue.pop(0), RefusalReason.QUEUE_FULL)
         self.drain_queue(now)
-        if pending.stage == "queue" and not pending.done:
-            self.check_at(pending.arrived + self.hold(pending), pending)
+        if pending.stage == "queue" and not pending.finished:
+            self.check_at(pending.arrived_at + self.hold(pending), pending)
 
     def line_up(self, pending: PendingRequest) -> None:
         pending.stage = "queue"
-        bisect.insort(self.queue, pending, key=lambda j: (not j.beyond, j.value))
+        bisect.insort(self.queue, pending, key=lambda j: (not j.over_quota, j.value_per_work))
 
     def hold(self, pending: PendingRequest) -> float:
         """How long after its arrival a request may wait for a server: while it can still be sent with use,
         and its refusal comes in the first half of its time. Of those not sent yet, there are many."""
-        useful = max(0.0, pending.cls.aim - self.fleet.mean[pending.cls.name])
-        share = 1.0 if pending.sends else QUEUE_HOLD
-        return min(useful, (pending.deadline - pending.arrived) / 2, pending.cls.aim * share)
+        useful = max(0.0, pending.service_class.aim - self.fleet.mean[pending.service_class.name])
+        share = 1.0 if pending.attempts_sent else QUEUE_HOLD
+        return min(useful, (pending.deadline - pending.arrived_at) / 2, pending.service_class.aim * share)
 
     def refuse(self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0) -> None:
-        ran = pending.cls.effect != "safe" and (pending.cls.effect, pending.cls.scope) != ("keyed", "all")
-        if not (ran and (pending.ran or pending.live)):
+        ran = pending.service_class.effect != "safe" and (
+            pending.service_class.effect,
+            pending.service_class.scope,
+        ) != ("keyed", "all")
+        if not (ran and (pending.may_have_run or pending.live_attempts)):
             most = self.set.limits.max_retry_after if self.set.limits.retry_after else 0.0
             self.out.append(api.Refuse(pending.req.id, min(max(wait, 0.0), most), reason.value))
         else:
@@ -190,20 +201,22 @@
         self.finish(now, pending)
 
     def finish(self, now: float, pending: PendingRequest) -> None:
-        pending.done = True
+        pending.finished = True
         self.requests.pop(pending.req.id, None)
-        self.out += [api.Cancel(pending.req.id, number) for number in pending.live if self.set.limits.cancel]
-        if pending.slot > 0:
-            self.count_open(pending.acct, pending.slot, -1)
-        pending.acct.open_here -= pending.slot < 0
+        self.out += [
+            api.Cancel(pending.req.id, number) for number in pending.live_attempts if self.set.limits.cancel
+        ]
+        if pending.held_slot > 0:
+            self.count_open(pending.tenant, pending.held_slot, -1)
+        pending.tenant.own_slots_in_use -= pending.held_slot < 0
 
     def is_eligible(self, pending: PendingRequest, s: Server, now: float) -> bool:
-        unproven = pending.ran + list(pending.live.values())
-        if s.host.id in pending.avoid or not unproven or pending.cls.effect == "safe":
-            return s.host.id not in pending.avoid
-        if pending.cls.effect == "unsafe" or now >= self.retry_deadline(pending):
+        unproven = pending.may_have_run + list(pending.live_attempts.values())
+        if s.host.id in pending.excluded_servers or not unproven or pending.service_class.effect == "safe":
+            return s.host.id not in pending.excluded_servers
+        if pending.service_class.effect == "unsafe" or now >= self.retry_deadline(pending):
             return False
-        known, scope = [self.fleet.host(h) for h, _ in unproven], pending.cls.scope
+        known, scope = [self.fleet.host(h) for h, _ in unproven], pending.service_class.scope
         if None in known:
             return False
         if scope == "all":
@@ -213,48 +226,53 @@
 
     def retry_deadline(self, pending: PendingRequest) -> float:
         """Until when a further attempt may be written; no bound where none before may have run."""
-        unproven = pending.ran + list(pending.live.values())
-        if pending.cls.effect == "safe" or not unproven:
+        unproven = pending.may_have_run + list(pending.live_attempts.values())
+        if pending.service_class.effect == "safe" or not unproven:
             return math.inf
-        return repeat_until(min(sent for _, sent in unproven), pending.cls.memory)
+        return repeat_until(min(sent for _, sent in unproven), pending.service_class.memory)
 
     def admits_delayed_attempt(self, now: float, id: str, number: int, server: str) -> bool:
         """Whether an attempt at a cold server, whose connection came up late, may still be written."""
         pending, s = self.requests.get(id), self.fleet.servers.get(server)
         if pending is None or s is None:
             return False
-        return self.fleet.admits_late(s, (id, number), now, pending.charge)
+        return self.fleet.admits_late(s, (id, number), now, pending.slow_start_charge)
 
     def choose(self, now: float, pending: PendingRequest) -> Server | None:
-        if not pending.avoid:
-            return self.fleet.pick(now, pending.keys, None, pending.charge)
+        if not pending.excluded_servers:
+            return self.fleet.pick(now, pending.failure_keys, None, pending.slow_start_charge)
         mates = self.cell_mates(pending)
         if mates is not None:
             fit = [s for s in mates if self.is_eligible(pending, s, now)]
-            return self.fleet.best(now, pending.keys, fit, pending.charge)
-        return self.fleet.pick(now, pending.keys, lambda s: self.is_eligible(pending, s, now), pending.charge)
+            return self.fleet.best(now, pending.failure_keys, fit, pending.slow_start_charge)
+        return self.fleet.pick(
+            now, pending.failure_keys, lambda s: self.is_eligible(pending, s, now), pending.slow_start_charge
+        )
 
     def cell_mates(self, pending: PendingRequest) -> list[Server] | None:
         """The servers of the cell that another attempt is bound to, where not all are in view; else None."""
-        tried = [name for name, _ in [*pending.ran, *pending.live.values()]]
-        bound = (pending.cls.effect, pending.cls.scope) == ("keyed", "cell") and self.fleet.members.limited
+        tried = [name for name, _ in [*pending.may_have_run, *pending.live_attempts.values()]]
+        bound = (pending.service_class.effect, pending.service_class.scope) == (
+            "keyed",
+            "cell",
+        ) and self.fleet.members.limited
         host = self.fleet.host(tried[0]) if bound and tried else None
         return self.fleet.cell_mates(host.cell) if host is not None else None
 
     def send_attempt(self, now: float, pending: PendingRequest) -> bool:
-        if pending.begun >= self.set.limits.max_attempts or pending.streaming:
+        if pending.attempts_begun >= self.set.limits.max_attempts or pending.streaming:
             return False
-        s = self.choose(now, pending) if self.set.limits.second_copies or not pending.live else None
+        s = self.choose(now, pending) if self.set.limits.second_copies or not pending.live_attempts else None
         if s is None:
             return False
         cold = s.admission is not None and s.warmth(now, self.set.rules) < 1.0
         self.out.append(api.Send(pending.req.id, s.host.id, 0, self.retry_deadline(pending), cold))
-        pending.live[pending.sends] = (s.host.id, now)
-        self.fleet.sent(s, (pending.req.id, pending.sends), now, pending.charge)
-        pending.sends += 1
-        pending.avoid.add(s.host.id)
+        pending.live_attempts[pending.attempts_sent] = (s.host.id, now)
+        self.fleet.sent(s, (pending.req.id, pending.attempts_sent), now, pending.slow_start_charge)
+        pending.attempts_sent += 1
+        pending.excluded_servers.add(s.host.id)
         pending.stage = "sent"
-        self.check_at(now + self.fleet.patience(pending.cls.name), pending)
+        self.check_at(now + self.fleet.patience(pending.service_class.name), pending)
         return True
 
     def drain_queue(self, now: float) -> None:
@@ -262,9 +280,9 @@
         # before has fewer left.
         stuck: set[tuple[str, bool]] = set()
         for pending in self.queue[::-1] if self.queue and self.fleet.room(now) else ():
-            first = not pending.sends
-            if not pending.done:
-                kind = (pending.cls.name, pending.charge > 1.0)
+            first = not pending.attempts_sent
+            if not pending.finished:
+                kind = (pending.service_class.name, pending.slow_start_charge > 1.0)
                 if kind in stuck or not self.send_attempt(now, pending):
                     stuck.update([kind] * first)
                     continue
@@ -282,28 +300,31 @@
 
     def on_outcome(self, now: float, event: api.Outcome) -> None:
         pending = self.requests.get(event.id)
-        cls, keys = (pending.cls, pending.keys) if pending else (None, ("host",))
+        cls, keys = (pending.service_class, pending.failure_keys) if pending else (None, ("host",))
         self.fleet.answered(now, event, cls, keys)
         if pending is None:
             return
-        sent = pending.live.pop(event.attempt, None)
-        if event.actual and self.set.settles and pending.plan.rate and not pending.beyond:
-            pending.acct.uncharged += event.actual - pending.req.units
+        sent = pending.live_attempts.pop(event.attempt, None)
+        if event.actual and self.set.settles and pending.plan.rate and not pending.over_quota:
+            pending.tenant.uncharged += event.actual - pending.req.units
         if event.final:
             self.finish(now, pending)
             return
         if event.result in ("error", "timeout", "reset", "cancelled") and sent is not None:
-            pending.ran.append(sent)
+            pending.may_have_run.append(sent)
         if event.result in api.NEVER_BEGAN:
-            pending.unsent += 1
-            pending.avoid.discard(event.host)
+            pending.attempts_not_begun += 1
+            pending.excluded_servers.discard(event.host)
         if event.result == "unsent":
             self.fleet.hindered(now)
-        if pending.live:
+        if pending.live_attempts:
             return
         free = event.result == "connect_failed" or event.result in api.NEVER_BEGAN
         cost = 0.0 if free else RETRY_FULL if event.result == "full" else 1.0
-        late = now + max(TICK, self.fleet.mean[pending.cls.name]) > pending.deadline or event.result == "moot"
+        late = (
+            now + max(TICK, self.fleet.mean[pending.service_class.name]) > pending.deadline
+            or event.result == "moot"
+        )
         if late:
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
         elif self.retry_budget < cost:
@@ -315,13 +336,13 @@
             # was silent or erred has had its time at a host, and in overload would take that of others.
             self.retry_budget -= cost
             self.line_up(pending)
-            self.check_at(pending.arrived + self.hold(pending), pending)
+            self.check_at(pending.arrived_at + self.hold(pending), pending)
         else:
             self.refuse(now, pending, RefusalReason.NO_SERVER)
 
     def may_wait(self, now: float, pending: PendingRequest) -> bool:
-        more = not pending.streaming and pending.begun < self.set.limits.max_attempts
-        more = more and now < pending.arrived + self.hold(pending)
+        more = not pending.streaming and pending.attempts_begun < self.set.limits.max_attempts
+        more = more and now < pending.arrived_at + self.hold(pending)
         mates = self.cell_mates(pending) if more else None
         servers = self.fleet.up if mates is None else mates
         return more and any(self.is_eligible(pending, s, now) for s in servers)
@@ -343,7 +364,7 @@
     def check_request(self, now: float, pending: PendingRequest) -> None:
         ending = now >= pending.deadline - 2 * TICK - 1e-6
         most = {"units": 2 * self.counter.timeout, "queue": self.hold(pending)}.get(pending.stage, math.inf)
-        if pending.stage != "sent" and (ending or now - pending.arrived >= most - 1e-6):
+        if pending.stage != "sent" and (ending or now - pending.arrived_at >= most - 1e-6):
             self.refuse(now, pending, RefusalReason.WAITED)
         elif pending.stage == "sent" and not ending and not pending.streaming:
             self.handle_late_attempts(now, pending)
@@ -351,21 +372,28 @@
     def handle_late_attempts(self, now: float, pending: PendingRequest) -> None:
         """An attempt long without answer: evidence against its host, and reason for another one, whatever the
         cause. Harm: work done twice where an answer was only slow, so it draws on the budget for retries."""
-        patience = self.fleet.patience(pending.cls.name) - TICK
-        late = [n for n, (_, sent) in pending.live.items() if now - sent >= patience]
-        for number in set(late) - pending.late:
-            out = self.fleet.servers[pending.live[number][0]].out  # a silent one holds no other's place
+        patience = self.fleet.patience(pending.service_class.name) - TICK
+        late = [n for n, (_, sent) in pending.live_attempts.items() if now - sent >= patience]
+        for number in set(late) - pending.late_attempts:
+            out = self.fleet.servers[
+                pending.live_attempts[number][0]
+            ].out  # a silent one holds no other's place
             self.fleet.out -= out.pop((pending.req.id, number), None) is not None
-            self.fleet.detector.note(pending.live[number][0], pending.keys, True, now)
-        pending.late.update(late)
-        self.check_at(now + max(2 * TICK, self.fleet.dev[pending.cls.name]), pending)
-        if not late or len(pending.live) > 1 or pending.cls.effect == "unsafe" or self.retry_budget < 1.0:
+            self.fleet.detector.note(pending.live_attempts[number][0], pending.failure_keys, True, now)
+        pending.late_attempts.update(late)
+        self.check_at(now + max(2 * TICK, self.fleet.dev[pending.service_class.name]), pending)
+        if (
+            not late
+            or len(pending.live_attempts) > 1
+            or pending.service_class.effect == "unsafe"
+            or self.retry_budget < 1.0
+        ):
             return
         if self.set.limits.second_copies:
             self.retry_budget -= self.send_attempt(now, pending)
         elif (
             self.set.limits.cancel
-            and pending.begun < self.set.limits.max_attempts
+            and pending.attempts_begun < self.set.limits.max_attempts
             and self.choose(now, pending)
         ):
             self.out.append(api.Cancel(pending.req.id, late[0]))  # its outcome starts the next attempt
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -216,7 +216,7 @@
         for s in of(w.ask()[1], api.Send):
             w.end(s)
         w.wait(0.04)
-    assert w.gw.counter.fails == 0
+    assert w.gw.counter.failures == 0
     assert [a for t, a in w.log if isinstance(a, api.Count) and t > start]
 
 
@@ -434,7 +434,7 @@
     w = thin(plans=[plan(over_cost=1.0)])
     w.mode = "refuse"
     for use in w.gw.uses.values():
-        use.share, use.seen = share, 50
+        use.granted_share, use.observations = share, 50
     passed = asked = 0
     for n in range(600):
         asked += 1
