--- a/calicomast/leases.py
+++ b/calicomast/leases.py
@@ -1,7 +1,7 @@
-"""Units and open slots of customers: what passes by a lease, by the local allowance or unasked.
+"""Admission by quota: units and open slots of tenants, and the calls to the counter service for them.
 
-Also the calls to the counter by which leases are sought.
-Part of the decisions: policy.py, whose GatewayPolicy is made of this.
+A request is admitted by a lease, by the local allowance, or without either where the counter cannot be asked.
+`LeasePolicy` is a base class of GatewayPolicy in policy.py.
 """
 
 from __future__ import annotations
@@ -25,160 +25,205 @@
 from calicomast.rules import RefusalReason
 from calicomast.servers import TICK, Fleet
 
-RESERVE = 0.2  # share of a burst kept from the class worth least a unit, for the one worth most
-CROWD = 0.3  # worth of a call's time at the full time-out (c1 grows as the counter slows), squared share
-SIDE_CALL = 0.15  # worth of a call that only mends a count for others, or finds a limit seldom reached
-SAMPLE_MOST = 4.0  # a sampled charge stands for so many at most: more makes the count jump
-UNASKED_LOSS = 0.015  # of the worth that passes inside quotas: see `risked`
-ROUNDING = 1e-4  # part of a total, seven digits of which are exact: less than that is no difference
-CALL_SPOILT = 0.9  # part of the time-out before which a call without answer was lost with its line
-OPEN_EPOCH = 5.0  # s; life of a count of open attempts
+# Share of a burst that is reserved from the class with the least value per unit, for the one with the most.
+RESERVED_BURST_SHARE = 0.2
+# Cost of the time of a call that takes the full timeout, in mean request values. It grows with the square of
+# the latency and is part of c1 in `TenantQuota.lease_size`.
+FULL_LATENCY_COST = 0.3
+# Benefit of a call that only corrects a count for other gateways, or checks a limit that is seldom reached.
+MINOR_CALL_BENEFIT = 0.15
+MAX_SAMPLE_WEIGHT = 4.0  # requests that one sampled charge stands for; with more, the count jumps
+MAX_UNLEASED_LOSS = 0.015  # part of the value that is admitted within quotas, see `accepts_loss`
+# Part of a total. Totals are exact to seven digits; a difference below this part is a rounding error.
+TOTAL_TOLERANCE = 1e-4
+EARLY_TIMEOUT = 0.9  # part of the timeout; a call that times out earlier was lost with its connection
+SLOT_EPOCH = 5.0  # seconds; one count of open requests covers this time
 
 
-class LeaseDecisions(ABC):
-    """The part of GatewayPolicy that keeps quotas.
+class LeasePolicy(ABC):
+    """Decides which requests are within their tenant's quota, and calls the counter.
 
     Attributes:
-        uses: what the counter granted, by plan and level of demand.
-        calls: to the counter that are out, by count name, in order.
-        inside, risk: worth that passed inside quotas; what would be lost if all unasked passed.
+        grant_statistics: what the counter granted, by plan and demand level.
+        outstanding_calls: counter calls without a result, by count name, oldest first.
+        mean_value: moving average of a request's value.
+        max_class_value: value of the most valuable class.
+        value_within_quota: decaying sum of the value admitted within quotas.
+        value_at_risk: decaying sum of the expected loss if all requests were admitted without a lease.
+        decayed_at: when these two sums were last updated.
+        actions: the actions that the current event has led to.
     """
 
-    set: api.Settings
+    settings: api.Settings
     rng: random.Random
     fleet: Fleet
     counter: CounterMonitor
-    uses: dict[tuple[str, int], GrantStatistics]
+    grant_statistics: dict[tuple[str, int], GrantStatistics]
     requests: dict[str, PendingRequest]
-    calls: dict[int, list[CounterCall]]
-    worth: float
-    top: float
-    inside: float
-    risk: float
-    faded_at: float
-    out: list[api.Action]
+    outstanding_calls: dict[int, list[CounterCall]]
+    mean_value: float
+    max_class_value: float
+    value_within_quota: float
+    value_at_risk: float
+    decayed_at: float
+    actions: list[api.Action]
 
     @abstractmethod
     def handle_over_quota(
         self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0
     ) -> None:
-        """A request is beyond its quota."""
+        """Refuses a request that is over quota, or admits it if its plan earns something by that."""
 
     @abstractmethod
     def enqueue(self, now: float, pending: PendingRequest) -> None:
-        """A request has its units and its slot, and waits for a server."""
+        """Queues a request for a server, once it has its units and its open slot."""
 
     @abstractmethod
-    def check_at(self, at: float, pending: PendingRequest) -> None:
-        """The request is to be looked at then."""
+    def schedule_check(self, at: float, pending: PendingRequest) -> None:
+        """Schedules a check of the request's progress."""
 
-    def kept(self, pending: PendingRequest) -> float:
-        """Kept for classes that earn more with a unit; binds subset the end of a quota only."""
+    def reserved_units(self, pending: PendingRequest) -> float:
+        """Returns the units reserved for classes of more value; they matter only near the end of a quota."""
         return (
-            RESERVE * pending.plan.burst * (1 - pending.service_class.worth / self.top) if self.top else 0.0
+            RESERVED_BURST_SHARE
+            * pending.plan.burst
+            * (1 - pending.service_class.worth / self.max_class_value)
+            if self.max_class_value
+            else 0.0
         )
 
-    def spare(self, now: float, pending: PendingRequest) -> float:
-        return pending.tenant.available_units(now) - self.kept(pending) - pending.req.units
+    def units_left(self, now: float, pending: PendingRequest) -> float:
+        """Returns the available units less the reserve and those of this request; negative if too few."""
+        return pending.tenant.available_units(now) - self.reserved_units(pending) - pending.req.units
 
     def take_units(self, now: float, pending: PendingRequest) -> bool:
+        """Admits a request by the lease or the local allowance; returns whether there were enough units."""
         tenant, units = pending.tenant, pending.req.units
-        if self.spare(now, pending) + tenant.lease < 0:
+        if self.units_left(now, pending) + tenant.lease < 0:
             return False
-        left = tenant.local_allowance(now, self.counter.failures > 0) - tenant.uncharged
+        allowance = tenant.local_allowance(now, self.counter.failures > 0) - tenant.uncharged
         if tenant.lease >= units:
             tenant.lease -= units
-        # What is less than a request is rounded at random, once a window: over all gateways it comes out.
-        elif tenant.available_units(now) >= units and left >= units * (1 - tenant.rounding):
+        # A fraction of a request is rounded by one random draw per window: this averages out over gateways.
+        elif tenant.available_units(now) >= units and allowance >= units * (1 - tenant.rounding):
             tenant.uncharged += units
         else:
             return False
         tenant.used += units
-        self.inside += pending.value
-        self.want_slot(now, pending)
+        self.value_within_quota += pending.value
+        self.take_slot(now, pending)
         return True
 
-    def want_units(self, now: float, pending: PendingRequest) -> None:
+    def request_units(self, now: float, pending: PendingRequest) -> None:
+        """Starts the quota check of a new request whose plan has a rate."""
         pending.tenant.advance_window(now)
         pending.demand_level = pending.tenant.record_request(now)
-        use = self.uses[pending.plan.name, pending.demand_level]
-        gain = pending.value / max(self.worth, 1e-9) * min(use.granted_share, use.expected_loss(pending.plan))
-        chance = self.counter.call_probability(gain)
-        self.decide(now, pending, self.rng.random() < chance)
-        # It stands for those that pass unasked too.
-        self.renew(now, pending.tenant, 1 / max(chance, 1 / SAMPLE_MOST))
+        statistics = self.grant_statistics[pending.plan.name, pending.demand_level]
+        benefit = (
+            pending.value
+            / max(self.mean_value, 1e-9)
+            * min(statistics.granted_share, statistics.expected_loss(pending.plan))
+        )
+        probability = self.counter.call_probability(benefit)
+        self.decide(now, pending, self.rng.random() < probability)
+        # A sampled call also charges for the requests that were admitted without a call.
+        self.call_for_units(now, pending.tenant, 1 / max(probability, 1 / MAX_SAMPLE_WEIGHT))
 
-    def decide(self, now: float, pending: PendingRequest, ask: bool) -> None:
-        tenant, room = pending.tenant, pending.tenant.available_units(now)
+    def decide(self, now: float, pending: PendingRequest, may_call: bool) -> None:
+        """Admits a request, lets it wait for a call to the counter, or handles it as over quota."""
+        tenant, available = pending.tenant, pending.tenant.available_units(now)
         if self.take_units(now, pending):
             return
-        if now < tenant.exhausted_until or self.spare(now, pending) < 0:
-            wait = (pending.req.units - room) / tenant.plan.rate
+        if now < tenant.exhausted_until or self.units_left(now, pending) < 0:
+            wait = (pending.req.units - available) / tenant.plan.rate
             self.handle_over_quota(now, pending, RefusalReason.QUOTA, wait)
-        elif ask and self.counter.is_available(now):
+        elif may_call and self.counter.is_available(now):
             tenant.waiting.append(pending.req.id)
-            self.check_at(now + 2 * self.counter.timeout + TICK, pending)
+            self.schedule_check(now + 2 * self.counter.timeout + TICK, pending)
         else:
             self.decide_without_lease(now, pending)
 
     def decide_without_lease(self, now: float, pending: PendingRequest) -> None:
-        use, units = self.uses[pending.plan.name, pending.demand_level], pending.req.units
-        away, mistake = self.counter.failures > 0, use.expected_loss(pending.plan)
-        use.refill_credit(now)
-        likely = pending.tenant.low_rate and use.granted_share > mistake and not (away and use.credit < units)
-        if likely and (away or self.risked(now, use.confidence * mistake * pending.value)):
-            use.credit -= units * away
-            self.inside += use.granted_share * pending.value
+        """Admits a request without a lease if the counter would probably have granted one."""
+        statistics = self.grant_statistics[pending.plan.name, pending.demand_level]
+        units = pending.req.units
+        counter_down, loss = self.counter.failures > 0, statistics.expected_loss(pending.plan)
+        statistics.refill_credit(now)
+        likely = (
+            pending.tenant.low_rate
+            and statistics.granted_share > loss
+            and not (counter_down and statistics.credit < units)
+        )
+        if likely and (counter_down or self.accepts_loss(now, statistics.confidence * loss * pending.value)):
+            statistics.credit -= units * counter_down
+            self.value_within_quota += statistics.granted_share * pending.value
             pending.tenant.used += units
-            self.want_slot(now, pending)
+            self.take_slot(now, pending)
         else:
             self.handle_over_quota(now, pending, RefusalReason.QUOTA_UNKNOWN)
 
-    def risked(self, now: float, loss: float) -> bool:
-        """Whether a try may pass unasked, which loses `loss` in the mean. What all such tries lose is bounded
-        by the part of calls that is turned away: 7.5 in 100 of what passes where that is a fifth. A counter
-        that is slow or silent is so for a while; one that turns calls away bears fewer than there are."""
-        fade = math.exp((self.faded_at - now) / GRANT_AVERAGING_TIME)
-        self.inside, self.risk, self.faded_at = self.inside * fade, self.risk * fade + loss, now
-        return self.rng.random() * self.risk * self.counter.rejected_share <= UNASKED_LOSS * self.inside
+    def accepts_loss(self, now: float, loss: float) -> bool:
+        """Returns whether a request with this expected loss may be admitted without a lease.
+
+        The loss of all such requests is bounded by the share of calls that the counter rejects: with a fifth
+        of the calls rejected, it is at most 7.5 % of the value that is admitted. A counter that is slow or
+        does not answer recovers after a while, but one that rejects calls cannot carry the present load.
+        """
+        decay = math.exp((self.decayed_at - now) / GRANT_AVERAGING_TIME)
+        self.value_within_quota = self.value_within_quota * decay
+        self.value_at_risk = self.value_at_risk * decay + loss
+        self.decayed_at = now
+        return (
+            self.rng.random() * self.value_at_risk * self.counter.rejected_share
+            <= MAX_UNLEASED_LOSS * self.value_within_quota
+        )
+
+    def call_for_units(self, now: float, tenant: TenantQuota, sample_weight: float = 1.0) -> None:
+        """Calls the counter to lease and charge units, if enough are needed and no call is outstanding.
 
-    def renew(self, now: float, tenant: TenantQuota, factor: float = 1.0) -> None:
+        Args:
+            sample_weight: number of requests for which each waiting one stands.
+        """
         if tenant.outstanding_call is not None or not self.counter.is_available(now):
             return
-        need = sum(self.requests[i].req.units for i in tenant.waiting if i in self.requests)
-        w, room = (
-            tenant.lease_size(self.counter.price + CROWD * self.counter.latency**2),
-            tenant.available_units(now),
+        needed = sum(self.requests[i].req.units for i in tenant.waiting if i in self.requests)
+        size = tenant.lease_size(self.counter.price + FULL_LATENCY_COST * self.counter.latency**2)
+        available = tenant.available_units(now)
+        renewal_due = (
+            tenant.lease < size / 2 and available > size * tenant.spread and now >= tenant.exhausted_until
         )
-        more = tenant.lease < w / 2 and room > w * tenant.spread and now >= tenant.exhausted_until
-        due = tenant.uncharged > max(1.0, CHARGE_THRESHOLD * tenant.local_allowance(now, False))
-        if not (need or due or (tenant.added and more)):
+        charge_due = tenant.uncharged > max(1.0, CHARGE_THRESHOLD * tenant.local_allowance(now, False))
+        if not (needed or charge_due or (tenant.added and renewal_due)):
             return
-        ask = max(need, w) - tenant.lease if need else w * more
-        ask = max(0, int(min(math.ceil(ask), max(room, 0.0))))
-        if ask + tenant.uncharged <= 0:
+        lease = max(needed, size) - tenant.lease if needed else size * renewal_due
+        lease = max(0, int(min(math.ceil(lease), max(available, 0.0))))
+        if lease + tenant.uncharged <= 0:
             self.decide_waiting(now, tenant)
             return
-        extra = need * (factor - 1)
+        extra = needed * (sample_weight - 1)
         call = tenant.outstanding_call = CounterCall(
-            tenant, "units", tenant.window, tenant.uncharged, ask, extra, tenant.unclaimed
+            tenant, "units", tenant.window, tenant.uncharged, lease, extra, tenant.unclaimed
         )
         tenant.total += tenant.uncharged
         tenant.uncharged = tenant.unclaimed = 0.0
-        self.count(stable_hash(tenant.name, tenant.window), call.amount, 3 * tenant.window_length, call)
+        self.call_counter(
+            stable_hash(tenant.name, tenant.window), call.amount, 3 * tenant.window_length, call
+        )
 
-    def count(self, name: int, amount: float, life: float, call: CounterCall) -> None:
-        self.calls.setdefault(name, []).append(call)
-        self.out.append(api.Count(name, amount, min(60.0, max(life, 1.0))))
+    def call_counter(self, name: int, amount: float, lifetime: float, call: CounterCall) -> None:
+        """Adds an amount to a count; the counter keeps the count for the lifetime, 1 to 60 seconds."""
+        self.outstanding_calls.setdefault(name, []).append(call)
+        self.actions.append(api.Count(name, amount, min(60.0, max(lifetime, 1.0))))
 
-    def counted(self, now: float, event: api.Counted) -> None:
-        if event.name not in self.calls:
+    def on_counted(self, now: float, event: api.Counted) -> None:
+        """Handles the result of the oldest outstanding call for a count."""
+        if event.name not in self.outstanding_calls:
             return
-        call, *rest = self.calls.pop(event.name)
-        self.calls.update({event.name: rest} if rest else {})
+        call, *rest = self.outstanding_calls.pop(event.name)
+        self.outstanding_calls.update({event.name: rest} if rest else {})
         ok, tenant = event.result == "ok", call.tenant
-        # A spoilt answer, or a line that broke before the time was up, says nothing of the next call.
-        early = event.result == "timeout" and event.elapsed < CALL_SPOILT * self.counter.timeout
+        # A malformed response, or a connection that broke before the timeout, says nothing of the next call.
+        early = event.result == "timeout" and event.elapsed < EARLY_TIMEOUT * self.counter.timeout
         if event.result != "spoilt" and not early:
             self.counter.record_result(now, event.result, event.elapsed)
         if call.kind == "units":
@@ -187,78 +232,93 @@
             if call.window == tenant.window and ok:
                 self.on_units_counted(now, tenant, event.total, call)
             elif call.window == tenant.window and event.result == "spoilt":
-                tenant.added += call.amount  # surely added: what was asked for is used up by the next call
+                tenant.added += call.amount  # certainly added; the next call uses the leased units
                 tenant.unclaimed += call.lease
             elif call.window == tenant.window and event.result != "timeout":
-                tenant.uncharged += call.charge  # surely not added: the charge is still owed
+                tenant.uncharged += call.charge  # certainly not added: the charge is still due
                 tenant.total -= call.charge
                 tenant.unclaimed += call.unclaimed
             elif call.window == tenant.window:
                 tenant.unconfirmed += call.amount
             self.decide_waiting(now, tenant, event.result != "full")
         elif call.kind == "slot":
-            self.slot_counted(now, event, call)
+            self.on_slot_counted(now, event, call)
         elif call.window == tenant.window and event.result not in ("ok", "spoilt"):
-            tenant.added -= call.amount  # else what never came into the count would be taken for lost from it
+            # The amount was not added, so a later total without it must not be taken for a lost count.
+            tenant.added -= call.amount
             tenant.unconfirmed += call.amount * (event.result == "timeout")
 
     def on_units_counted(self, now: float, tenant: TenantQuota, total: float, call: CounterCall) -> None:
-        mine, extra, slack = call.amount, 0.0, ROUNDING * max(1.0, total)
-        if (
-            total < tenant.added + mine - slack
-        ):  # less than what is ours alone: counts were lost; add ours again
-            extra, tenant.added = tenant.added, 0.0  # the new count holds nothing else of ours
-        elif total <= tenant.added + mine + tenant.unconfirmed + slack:
-            extra, tenant.debt = tenant.debt, 0.0  # who finds none but its own brings the overdraft along
-        # The store holds a burst at most: what a quiet customer let run over is gone.
-        surplus = max(0, int(tenant.window_limit(now) - tenant.plan.burst - (total + extra - call.lease)))
-        extra, tenant.carried = extra + surplus, tenant.carried + surplus
-        pending_requests = [self.requests[i] for i in tenant.waiting if i in self.requests]
-        kept = min((self.kept(j) for j in pending_requests), default=0.0)
-        over = min(call.lease, max(0.0, math.ceil(total + extra + kept - tenant.window_limit(now))))
-        tenant.added += mine + extra - over
-        tenant.total = total + extra - over
-        tenant.lease += call.lease - over
-        tenant.found_exhausted_at = now if over > 0 else -math.inf
-        need = sum(j.req.units for j in pending_requests)
-        if need:
-            weight = 1 + call.extra / need
-            use = self.uses[tenant.plan.name, pending_requests[0].demand_level]
-            use.record(now, need * weight, min(need, tenant.lease) * weight)
-        if self.rng.random() < self.counter.call_probability(
-            SIDE_CALL
-        ):  # in a crowd the excess stays counted
-            extra -= over
-        if extra:
-            call = CounterCall(tenant, "correction", tenant.window, extra=extra)
-            self.count(stable_hash(tenant.name, tenant.window), extra, 3 * tenant.window_length, call)
+        """Takes over the counter's total and the leased units, and corrects the count where it is wrong."""
+        own, correction, tolerance = call.amount, 0.0, TOTAL_TOLERANCE * max(1.0, total)
+        if total < tenant.added + own - tolerance:
+            # The total is below what this gateway alone has added: the counter lost its counts. Add them
+            # again; the new count holds nothing else of this gateway.
+            correction, tenant.added = tenant.added, 0.0
+        elif total <= tenant.added + own + tenant.unconfirmed + tolerance:
+            # Only this gateway has added to the count, so it adds the overdraft of the windows before.
+            correction, tenant.debt = tenant.debt, 0.0
+        # A quota saves up one burst at most: what an idle tenant leaves unused above that is written off.
+        surplus = max(
+            0, int(tenant.window_limit(now) - tenant.plan.burst - (total + correction - call.lease))
+        )
+        correction, tenant.carried = correction + surplus, tenant.carried + surplus
+        waiting = [self.requests[i] for i in tenant.waiting if i in self.requests]
+        reserved = min((self.reserved_units(pending) for pending in waiting), default=0.0)
+        excess = min(
+            call.lease, max(0.0, math.ceil(total + correction + reserved - tenant.window_limit(now)))
+        )
+        tenant.added += own + correction - excess
+        tenant.total = total + correction - excess
+        tenant.lease += call.lease - excess
+        tenant.found_exhausted_at = now if excess > 0 else -math.inf
+        needed = sum(pending.req.units for pending in waiting)
+        if needed:
+            weight = 1 + call.extra / needed
+            statistics = self.grant_statistics[tenant.plan.name, waiting[0].demand_level]
+            statistics.record(now, needed * weight, min(needed, tenant.lease) * weight)
+        # Under contention the excess stays in the count.
+        if self.rng.random() < self.counter.call_probability(MINOR_CALL_BENEFIT):
+            correction -= excess
+        if correction:
+            call = CounterCall(tenant, "correction", tenant.window, extra=correction)
+            self.call_counter(
+                stable_hash(tenant.name, tenant.window), correction, 3 * tenant.window_length, call
+            )
 
-    def decide_waiting(self, now: float, tenant: TenantQuota, again: bool = True) -> None:
-        waiting, tenant.waiting = tenant.waiting, []
-        pending_requests = [self.requests[i] for i in waiting if i in self.requests]
-        for pending in sorted(pending_requests, key=lambda j: -j.value / max(j.req.units, 1e-9)):
+    def decide_waiting(self, now: float, tenant: TenantQuota, may_call: bool = True) -> None:
+        """Decides the requests that waited for a call, those with the most value per unit first."""
+        ids, tenant.waiting = tenant.waiting, []
+        waiting = [self.requests[i] for i in ids if i in self.requests]
+        for pending in sorted(waiting, key=lambda each: -each.value / max(each.req.units, 1e-9)):
             if tenant.available_units(now) + tenant.lease < pending.req.units:
                 wait = max(0.0, 1 - tenant.available_units(now)) / tenant.plan.rate
-                crowd = (
-                    self.counter.latency > CONTENTION_LATENCY
-                )  # the others wait for the same unit: no call for long
-                tenant.exhausted_until = now + wait * (tenant.spread if crowd else 1)
-            self.decide(now, pending, again and not self.counter.failures)
+                # Under contention the other gateways wait for the same unit, so pause for longer.
+                contention = self.counter.latency > CONTENTION_LATENCY
+                tenant.exhausted_until = now + wait * (tenant.spread if contention else 1)
+            self.decide(now, pending, may_call and not self.counter.failures)
         if tenant.waiting:
-            self.renew(now, tenant)
+            self.call_for_units(now, tenant)
 
-    def want_slot(self, now: float, pending: PendingRequest, ask: bool = True) -> None:
-        """Own even part of the open limit; the rest is shared by a count, asked for what that changes, or
-        judged by Little's law from the customer's rate, which its units bound, and the time of answers."""
+    def take_slot(self, now: float, pending: PendingRequest, may_call: bool = True) -> None:
+        """Takes an open slot for a request and queues it, or handles it as over quota.
+
+        Each gateway has an even share of the open limit to itself. The remaining slots are shared by a count
+        at the counter, which is called where its answer may change the decision. Otherwise the number of open
+        requests is estimated by Little's law from the tenant's request rate, which its units bound, and the
+        mean response time.
+        """
         tenant, plan = pending.tenant, pending.plan
         own, shared = divmod(plan.open_limit, tenant.spread)
         rate = max(tenant.total, tenant.used) / max(now - tenant.window_start, tenant.window_length / 4)
-        mean = (
+        mean_open = (
             min(rate, plan.rate or rate)
             / max(pending.req.units, 1e-9)
             * self.fleet.mean[pending.service_class.name]
         )
-        over = 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.open_limit))
+        over_probability = 1 - sum(
+            mean_open**n * math.exp(-mean_open) / math.factorial(n) for n in range(plan.open_limit)
+        )
         cost = max(0.0, plan.over_cost - plan.over_worth)
         pending.stage = "slot"
         if tenant.own_slots_in_use < own:
@@ -266,30 +326,37 @@
             tenant.own_slots_in_use += 1
         elif (
             shared
-            and ask
+            and may_call
             and self.counter.is_available(now)
-            and (self.rng.random() < self.counter.call_probability(max(over, SIDE_CALL) * cost))
+            and (
+                self.rng.random()
+                < self.counter.call_probability(max(over_probability, MINOR_CALL_BENEFIT) * cost)
+            )
         ):
-            self.count_open(tenant, int(now / OPEN_EPOCH) + 1, 1, pending)
-            self.check_at(pending.deadline, pending)
+            self.count_open_request(tenant, int(now / SLOT_EPOCH) + 1, 1, pending)
+            self.schedule_check(pending.deadline, pending)
             return
-        elif plan.open_limit and (plan.open_limit >= tenant.spread or over * cost >= 1 - over):
+        elif plan.open_limit and (
+            plan.open_limit >= tenant.spread or over_probability * cost >= 1 - over_probability
+        ):
             self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT)
             return
         self.enqueue(now, pending)
 
-    def count_open(
+    def count_open_request(
         self, tenant: TenantQuota, epoch: int, amount: int, pending: PendingRequest | None = None
     ) -> None:
+        """Adds to the count of open requests of an epoch: 1 for `pending`, or -1 to release a slot."""
         call = CounterCall(tenant, "slot" if pending else "correction", epoch, pending=pending)
-        self.count(stable_hash("open", tenant.name, epoch), amount, 2 * OPEN_EPOCH, call)
+        self.call_counter(stable_hash("open", tenant.name, epoch), amount, 2 * SLOT_EPOCH, call)
 
-    def slot_counted(self, now: float, event: api.Counted, call: CounterCall) -> None:
+    def on_slot_counted(self, now: float, event: api.Counted, call: CounterCall) -> None:
+        """Handles the result of the call that takes a shared slot for a request."""
         pending, tenant, ok = call.pending, call.tenant, event.result == "ok"
         if ok and (pending.finished or event.total > tenant.plan.open_limit % tenant.spread):
-            self.count_open(tenant, call.window, -1)
+            self.count_open_request(tenant, call.window, -1)
         if ok and not pending.finished and event.total > tenant.plan.open_limit % tenant.spread:
             self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT)
         elif not pending.finished:
             pending.held_slot = call.window if ok else 0
-            self.enqueue(now, pending) if ok else self.want_slot(now, pending, False)
+            self.enqueue(now, pending) if ok else self.take_slot(now, pending, False)
--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -14,7 +14,7 @@
 
 from calicomast import interface as api
 from calicomast.admission import charge
-from calicomast.leases import LeaseDecisions
+from calicomast.leases import LeasePolicy
 from calicomast.pending import PendingRequest
 from calicomast.quota import EWMA_WEIGHT, CounterCall, CounterMonitor, GrantStatistics, TenantQuota
 from calicomast.rules import RefusalReason, repeat_until
@@ -30,34 +30,36 @@
 RETRY_START, RETRY_MOST = 15.0, 30.0  # retries over all gateways at the start; that may be saved up
 
 
-class GatewayPolicy(LeaseDecisions):
+class GatewayPolicy(LeasePolicy):
     """All decisions of one gateway."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
-        self.set, self.born, self.rng = settings, now, random.Random(seed)
+        self.settings, self.born, self.rng = settings, now, random.Random(seed)
         self.fleet, self.counter = Fleet(settings, self.rng), CounterMonitor(settings)
-        self.uses = {
+        self.grant_statistics = {
             (p, level): GrantStatistics(now, share)
-            for p in self.set.plans
+            for p in self.settings.plans
             for level, share in enumerate(GRANT_PRIOR)
         }
         self.tenant_quotas: dict[str, TenantQuota] = {}  # in order of their last request
         self.requests, self.queue = dict[str, PendingRequest](), list[PendingRequest]()
-        self.calls: dict[int, list[CounterCall]] = {}  # by count name, in order of the calls
+        self.outstanding_calls: dict[int, list[CounterCall]] = {}  # by count name, in order of the calls
         self.units = 0.0  # running mean of a request's
         self.retry_budget = RETRY_START / settings.gateways
-        self.top = max(c.worth for c in settings.classes.values())
+        self.max_class_value = max(c.worth for c in settings.classes.values())
         self.checks: list[tuple[float, str]] = []  # when which request is to be looked at
         self.timer_at = self.watch_at = math.inf
         self.trial_at = 0.0  # when the queue is looked at for a host's next trial
-        self.pass_share, self.pass_at, self.worth = 1.0, now, 0.0  # worth: running mean of a request's
+        self.pass_share, self.pass_at, self.mean_value = 1.0, now, 0.0  # worth: running mean of a request's
         self.ranks: list[float] = []  # values of the latest requests
-        self.inside = self.risk = 0.0  # worth passed inside quotas; what would be lost if all unasked passed
-        self.faded_at = now
-        self.out: list[api.Action] = []
+        self.value_within_quota = self.value_at_risk = (
+            0.0  # worth passed inside quotas; what would be lost if all unasked passed
+        )
+        self.decayed_at = now
+        self.actions: list[api.Action] = []
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        self.out = []
+        self.actions = []
         self.fleet.now = now
         self.fleet.proceed()
         match event:
@@ -66,15 +68,15 @@
             case api.Outcome():
                 self.on_outcome(now, event)
             case api.Counted():
-                self.counted(now, event)
+                self.on_counted(now, event)
             case api.Timer():
                 self.tick(now)
             case api.HostList():
                 self.fleet.listed(now, event)
                 if event.mode == "failed":
                     self.watch_at = now + 1.0
-                elif event.mode == "cached" and self.set.discovery == "ask":
-                    self.out.append(api.Watch(True))
+                elif event.mode == "cached" and self.settings.discovery == "ask":
+                    self.actions.append(api.Watch(True))
             case api.Began() if event.id in self.requests:
                 self.requests[event.id].streaming = True
             case api.Gone() if event.id in self.requests:
@@ -87,18 +89,18 @@
         at = min(self.checks[0][0] if self.checks else math.inf, self.watch_at, trial, scan)
         if at < self.timer_at:  # what is due next; nothing when idle
             self.timer_at = at
-            self.out.append(api.SetTimer(max(0.0, at - now), 0))
-        return self.out
+            self.actions.append(api.SetTimer(max(0.0, at - now), 0))
+        return self.actions
 
     def on_request(self, now: float, req: api.Request) -> None:
-        cls, plan = self.set.classes[req.cls], self.set.plans[req.plan]
+        cls, plan = self.settings.classes[req.cls], self.settings.plans[req.plan]
         tenant = self.tenant_quotas.pop(req.customer, None)
         if tenant is None:
             tenant = TenantQuota(req, plan, self.born, now, self.rng)
         self.tenant_quotas[req.customer], tenant.last_request_at = tenant, now
         self.free_accounts(now)
         worth = cls.worth * plan.price * req.units
-        self.worth += (EWMA_WEIGHT if self.worth else 1.0) * (worth - self.worth)
+        self.mean_value += (EWMA_WEIGHT if self.mean_value else 1.0) * (worth - self.mean_value)
         value = worth / max(self.fleet.mean[cls.name], 1e-6)
         keys = ("host", "class " + cls.name, "plan " + plan.name)
         pending = PendingRequest(req, cls, plan, tenant, now, now + req.left, worth, value, keys)
@@ -112,15 +114,15 @@
             wait = (req.units - tenant.ceiling_units) * tenant.spread / plan.ceiling_rate
             self.refuse(now, pending, RefusalReason.CEILING, wait)
         elif plan.rate:
-            self.want_units(now, pending)
+            self.request_units(now, pending)
         else:
-            self.want_slot(now, pending)
+            self.take_slot(now, pending)
 
     def work(self, pending: PendingRequest) -> float:
         """What a request is expected to take, over the mean: units tell it where requests differ in them."""
         units = pending.req.units
         self.units += (EWMA_WEIGHT if self.units else 1.0) * (units - self.units)
-        if self.set.most_units > 1:
+        if self.settings.most_units > 1:
             return units / max(self.units, LEAST_UNITS)
         return self.fleet.mean[pending.service_class.name] / max(self.fleet.service, SERVICE_LEAST)
 
@@ -144,7 +146,10 @@
             self.pass_share = max(SHED_LEAST, self.pass_share * math.exp(-SHED_FAST * min(step, 1.0)))
         else:
             self.pass_share = min(1.0, self.pass_share + SHED_BACK * step)
-        luck, most = self.rng.random(), (1 - self.pass_share) * len(ranks) * (self.set.gateways > LIMIT_MOST)
+        luck, most = (
+            self.rng.random(),
+            (1 - self.pass_share) * len(ranks) * (self.settings.gateways > LIMIT_MOST),
+        )
         return (
             most > 0
             and luck * ranks.count(pending.value_per_work) + sum(v < pending.value_per_work for v in ranks)
@@ -175,7 +180,7 @@
             self.refuse(now, self.queue.pop(0), RefusalReason.QUEUE_FULL)
         self.drain_queue(now)
         if pending.stage == "queue" and not pending.finished:
-            self.check_at(pending.arrived_at + self.hold(pending), pending)
+            self.schedule_check(pending.arrived_at + self.hold(pending), pending)
 
     def line_up(self, pending: PendingRequest) -> None:
         pending.stage = "queue"
@@ -194,20 +199,22 @@
             pending.service_class.scope,
         ) != ("keyed", "all")
         if not (ran and (pending.may_have_run or pending.live_attempts)):
-            most = self.set.limits.max_retry_after if self.set.limits.retry_after else 0.0
-            self.out.append(api.Refuse(pending.req.id, min(max(wait, 0.0), most), reason.value))
+            most = self.settings.limits.max_retry_after if self.settings.limits.retry_after else 0.0
+            self.actions.append(api.Refuse(pending.req.id, min(max(wait, 0.0), most), reason.value))
         else:
-            self.out.append(api.Fail(pending.req.id, reason.value))
+            self.actions.append(api.Fail(pending.req.id, reason.value))
         self.finish(now, pending)
 
     def finish(self, now: float, pending: PendingRequest) -> None:
         pending.finished = True
         self.requests.pop(pending.req.id, None)
-        self.out += [
-            api.Cancel(pending.req.id, number) for number in pending.live_attempts if self.set.limits.cancel
+        self.actions += [
+            api.Cancel(pending.req.id, number)
+            for number in pending.live_attempts
+            if self.settings.limits.cancel
         ]
         if pending.held_slot > 0:
-            self.count_open(pending.tenant, pending.held_slot, -1)
+            self.count_open_request(pending.tenant, pending.held_slot, -1)
         pending.tenant.own_slots_in_use -= pending.held_slot < 0
 
     def is_eligible(self, pending: PendingRequest, s: Server, now: float) -> bool:
@@ -260,19 +267,23 @@
         return self.fleet.cell_mates(host.cell) if host is not None else None
 
     def send_attempt(self, now: float, pending: PendingRequest) -> bool:
-        if pending.attempts_begun >= self.set.limits.max_attempts or pending.streaming:
+        if pending.attempts_begun >= self.settings.limits.max_attempts or pending.streaming:
             return False
-        s = self.choose(now, pending) if self.set.limits.second_copies or not pending.live_attempts else None
+        s = (
+            self.choose(now, pending)
+            if self.settings.limits.second_copies or not pending.live_attempts
+            else None
+        )
         if s is None:
             return False
-        cold = s.admission is not None and s.warmth(now, self.set.rules) < 1.0
-        self.out.append(api.Send(pending.req.id, s.host.id, 0, self.retry_deadline(pending), cold))
+        cold = s.admission is not None and s.warmth(now, self.settings.rules) < 1.0
+        self.actions.append(api.Send(pending.req.id, s.host.id, 0, self.retry_deadline(pending), cold))
         pending.live_attempts[pending.attempts_sent] = (s.host.id, now)
         self.fleet.sent(s, (pending.req.id, pending.attempts_sent), now, pending.slow_start_charge)
         pending.attempts_sent += 1
         pending.excluded_servers.add(s.host.id)
         pending.stage = "sent"
-        self.check_at(now + self.fleet.patience(pending.service_class.name), pending)
+        self.schedule_check(now + self.fleet.patience(pending.service_class.name), pending)
         return True
 
     def drain_queue(self, now: float) -> None:
@@ -290,7 +301,7 @@
                     clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST
                     share = RETRY_SPARE if clear else RETRY_SHARE
                     self.retry_budget = min(
-                        max(2.0, RETRY_MOST / self.set.gateways), self.retry_budget + share
+                        max(2.0, RETRY_MOST / self.settings.gateways), self.retry_budget + share
                     )
             self.queue.remove(pending)
         if self.queue and self.trial_at <= now:  # no other event may come when a host's rest is over
@@ -305,7 +316,7 @@
         if pending is None:
             return
         sent = pending.live_attempts.pop(event.attempt, None)
-        if event.actual and self.set.settles and pending.plan.rate and not pending.over_quota:
+        if event.actual and self.settings.settles and pending.plan.rate and not pending.over_quota:
             pending.tenant.uncharged += event.actual - pending.req.units
         if event.final:
             self.finish(now, pending)
@@ -336,18 +347,18 @@
             # was silent or erred has had its time at a host, and in overload would take that of others.
             self.retry_budget -= cost
             self.line_up(pending)
-            self.check_at(pending.arrived_at + self.hold(pending), pending)
+            self.schedule_check(pending.arrived_at + self.hold(pending), pending)
         else:
             self.refuse(now, pending, RefusalReason.NO_SERVER)
 
     def may_wait(self, now: float, pending: PendingRequest) -> bool:
-        more = not pending.streaming and pending.attempts_begun < self.set.limits.max_attempts
+        more = not pending.streaming and pending.attempts_begun < self.settings.limits.max_attempts
         more = more and now < pending.arrived_at + self.hold(pending)
         mates = self.cell_mates(pending) if more else None
         servers = self.fleet.up if mates is None else mates
         return more and any(self.is_eligible(pending, s, now) for s in servers)
 
-    def check_at(self, at: float, pending: PendingRequest) -> None:
+    def schedule_check(self, at: float, pending: PendingRequest) -> None:
         heapq.heappush(self.checks, (min(at, pending.deadline - 2 * TICK), pending.req.id))
 
     def tick(self, now: float) -> None:
@@ -355,7 +366,7 @@
             self.timer_at = math.inf
         if now >= self.watch_at:
             self.watch_at = math.inf
-            self.out.append(api.Watch(True))
+            self.actions.append(api.Watch(True))
         while self.checks and self.checks[0][0] <= now + 1e-6:
             name = heapq.heappop(self.checks)[1]
             if name in self.requests:
@@ -381,7 +392,7 @@
             self.fleet.out -= out.pop((pending.req.id, number), None) is not None
             self.fleet.detector.note(pending.live_attempts[number][0], pending.failure_keys, True, now)
         pending.late_attempts.update(late)
-        self.check_at(now + max(2 * TICK, self.fleet.dev[pending.service_class.name]), pending)
+        self.schedule_check(now + max(2 * TICK, self.fleet.dev[pending.service_class.name]), pending)
         if (
             not late
             or len(pending.live_attempts) > 1
@@ -389,11 +400,11 @@
             or self.retry_budget < 1.0
         ):
             return
-        if self.set.limits.second_copies:
+        if self.settings.limits.second_copies:
             self.retry_budget -= self.send_attempt(now, pending)
         elif (
-            self.set.limits.cancel
-            and pending.attempts_begun < self.set.limits.max_attempts
+            self.settings.limits.cancel
+            and pending.attempts_begun < self.settings.limits.max_attempts
             and self.choose(now, pending)
         ):
-            self.out.append(api.Cancel(pending.req.id, late[0]))  # its outcome starts the next attempt
+            self.actions.append(api.Cancel(pending.req.id, late[0]))  # its outcome starts the next attempt
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -433,7 +433,7 @@
     """The counter turns all away in the end, and as many were granted at every level as `share` says."""
     w = thin(plans=[plan(over_cost=1.0)])
     w.mode = "refuse"
-    for use in w.gw.uses.values():
+    for use in w.gw.grant_statistics.values():
         use.granted_share, use.observations = share, 50
     passed = asked = 0
     for n in range(600):
