--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -1,7 +1,8 @@
-"""The decisions of calicomast. Types, events and actions: interface.py in this folder.
+"""The decisions of a gateway. Types, events and actions are defined in interface.py in this folder.
 
-GatewayPolicy(settings, seed, now).handle(now, event) -> actions. No clock, no I/O. What a gateway may do by
-itself is its part of an amount for all; what is less than one is kept as credit or drawn as a chance.
+GatewayPolicy(settings, seed, now).handle(now, event) returns actions. It reads no clock and does no I/O.
+Where a limit holds over all gateways, each gateway acts on its share; fractions are saved up as credit or
+rounded by a random draw.
 """
 
 from __future__ import annotations
@@ -20,45 +21,66 @@
 from calicomast.rules import RefusalReason, repeat_until
 from calicomast.servers import LIMIT_MOST, PRESS_SPAN, PRESSED, ROOM_CLEAR, SERVICE_LEAST, TICK, Fleet, Server
 
-LEAST_UNITS = 1e-9  # of a request; below it the mean says nothing
-GRANT_PRIOR = (0.7, 0.6, 0.4, 0.2, 0.1)  # share of tries granted at each level of demand, before any was
-QUEUE_HOLD, QUEUE_LEAST = 0.5, 4  # share of the aim spent waiting for a server; requests that always may
-IDLE_MOST = 30.0  # s; least life of an idle account
-FREED_AT_ONCE = 4  # idle accounts looked at with each request: more than come, so that they never pile up
-SHED_FAST, SHED_BACK, SHED_LEAST = 0.7, 0.15, 0.05  # 1/s down, 1/s up, least part that still passes
-RETRY_SHARE, RETRY_SPARE, RETRY_FULL = 0.1, 0.3, 0.2  # per first send; with room; price of one after `full`
-RETRY_START, RETRY_MOST = 15.0, 30.0  # retries over all gateways at the start; that may be saved up
+MIN_MEAN_UNITS = 1e-9  # of a request; lower bound of the mean as a divisor
+# Share of requests that the counter is assumed to grant at each demand level, before any was observed.
+GRANTED_SHARE_PRIORS = (0.7, 0.6, 0.4, 0.2, 0.1)
+QUEUE_TIME_SHARE = 0.5  # part of its class's aim that a request may wait for a server
+MIN_QUEUE_LIMIT = 4  # requests that may always wait for a server
+IDLE_TENANT_TIMEOUT = 30.0  # seconds; least time for which the quota state of an idle tenant is kept
+# Idle tenants that are checked with each request. More than one, so that they cannot pile up.
+IDLE_TENANTS_CHECKED = 4
+ADMISSION_DECREASE_RATE = 0.7  # per second; exponential decrease of the admission ratio under load shedding
+ADMISSION_INCREASE_RATE = 0.15  # per second; linear increase of the admission ratio afterwards
+MIN_ADMISSION_RATIO = 0.05
+RETRIES_PER_REQUEST = 0.1  # added to the retry budget with each first attempt
+RETRIES_PER_REQUEST_UNLOADED = 0.3  # added instead while the servers have spare capacity
+FULL_RETRY_COST = 0.2  # retries that a retry costs after the result "full"
+INITIAL_RETRIES = 15.0  # retry budget of all gateways together at the start
+MAX_SAVED_RETRIES = 30.0  # upper bound of the retry budget of all gateways together
 
 
 class GatewayPolicy(LeasePolicy):
     """All decisions of one gateway."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
-        self.settings, self.born, self.rng = settings, now, random.Random(seed)
-        self.fleet, self.counter = Fleet(settings, self.rng), CounterMonitor(settings)
+        """Starts without servers, leases and requests.
+
+        Args:
+            settings: the settings of the deployment.
+            seed: seed of all random draws.
+            now: clock time in seconds.
+        """
+        self.settings = settings
+        self.started_at = now
+        self.rng = random.Random(seed)
+        self.fleet = Fleet(settings, self.rng)
+        self.counter = CounterMonitor(settings)
         self.grant_statistics = {
-            (p, level): GrantStatistics(now, share)
-            for p in self.settings.plans
-            for level, share in enumerate(GRANT_PRIOR)
+            (plan, level): GrantStatistics(now, share)
+            for plan in self.settings.plans
+            for level, share in enumerate(GRANTED_SHARE_PRIORS)
         }
         self.tenant_quotas: dict[str, TenantQuota] = {}  # in order of their last request
-        self.requests, self.queue = dict[str, PendingRequest](), list[PendingRequest]()
-        self.outstanding_calls: dict[int, list[CounterCall]] = {}  # by count name, in order of the calls
-        self.units = 0.0  # running mean of a request's
-        self.retry_budget = RETRY_START / settings.gateways
+        self.requests = dict[str, PendingRequest]()
+        self.queue = list[PendingRequest]()  # requests that wait for a server, the most valuable one last
+        self.outstanding_calls: dict[int, list[CounterCall]] = {}  # by count name, oldest first
+        self.mean_units = 0.0  # moving average of a request's units
+        self.retry_budget = INITIAL_RETRIES / settings.gateways
         self.max_class_value = max(c.worth for c in settings.classes.values())
-        self.checks: list[tuple[float, str]] = []  # when which request is to be looked at
+        self.scheduled_checks: list[tuple[float, str]] = []  # heap of times and request ids
         self.timer_at = self.watch_at = math.inf
-        self.trial_at = 0.0  # when the queue is looked at for a host's next trial
-        self.pass_share, self.pass_at, self.mean_value = 1.0, now, 0.0  # worth: running mean of a request's
-        self.ranks: list[float] = []  # values of the latest requests
-        self.value_within_quota = self.value_at_risk = (
-            0.0  # worth passed inside quotas; what would be lost if all unasked passed
-        )
+        self.next_trial_at = 0.0  # when the queue is tried again because a server's cool-down ends
+        self.admission_ratio = 1.0  # part of the requests that load shedding admits
+        self.admission_ratio_at = now
+        self.mean_value = 0.0  # moving average of a request's value
+        self.recent_values: list[float] = []  # values per work of the latest requests
+        self.value_within_quota = 0.0
+        self.value_at_risk = 0.0
         self.decayed_at = now
         self.actions: list[api.Action] = []
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
+        """Handles one event at clock time `now` and returns the actions to carry out."""
         self.actions = []
         self.fleet.now = now
         self.fleet.proceed()
@@ -70,7 +92,7 @@
             case api.Counted():
                 self.on_counted(now, event)
             case api.Timer():
-                self.tick(now)
+                self.on_timer(now)
             case api.HostList():
                 self.fleet.listed(now, event)
                 if event.mode == "failed":
@@ -82,33 +104,38 @@
             case api.Gone() if event.id in self.requests:
                 self.finish(now, self.requests[event.id])
         self.drain_queue(now)
-        while self.checks and self.checks[0][1] not in self.requests:
-            heapq.heappop(self.checks)
-        trial = self.trial_at if self.queue and self.trial_at > now else math.inf
-        scan = now + TICK if self.fleet.members.unfinished else math.inf
-        at = min(self.checks[0][0] if self.checks else math.inf, self.watch_at, trial, scan)
-        if at < self.timer_at:  # what is due next; nothing when idle
-            self.timer_at = at
-            self.actions.append(api.SetTimer(max(0.0, at - now), 0))
+        while self.scheduled_checks and self.scheduled_checks[0][1] not in self.requests:
+            heapq.heappop(self.scheduled_checks)
+        trial = self.next_trial_at if self.queue and self.next_trial_at > now else math.inf
+        update = now + TICK if self.fleet.members.unfinished else math.inf
+        next_at = min(
+            self.scheduled_checks[0][0] if self.scheduled_checks else math.inf, self.watch_at, trial, update
+        )
+        if next_at < self.timer_at:  # never while nothing is scheduled
+            self.timer_at = next_at
+            self.actions.append(api.SetTimer(max(0.0, next_at - now), 0))
         return self.actions
 
     def on_request(self, now: float, req: api.Request) -> None:
-        cls, plan = self.settings.classes[req.cls], self.settings.plans[req.plan]
+        """Handles a new request: refuses it at once, or starts with its quota or its open slot."""
+        service_class, plan = self.settings.classes[req.cls], self.settings.plans[req.plan]
         tenant = self.tenant_quotas.pop(req.customer, None)
         if tenant is None:
-            tenant = TenantQuota(req, plan, self.born, now, self.rng)
+            tenant = TenantQuota(req, plan, self.started_at, now, self.rng)
         self.tenant_quotas[req.customer], tenant.last_request_at = tenant, now
-        self.free_accounts(now)
-        worth = cls.worth * plan.price * req.units
-        self.mean_value += (EWMA_WEIGHT if self.mean_value else 1.0) * (worth - self.mean_value)
-        value = worth / max(self.fleet.mean[cls.name], 1e-6)
-        keys = ("host", "class " + cls.name, "plan " + plan.name)
-        pending = PendingRequest(req, cls, plan, tenant, now, now + req.left, worth, value, keys)
+        self.drop_idle_tenants(now)
+        value = service_class.worth * plan.price * req.units
+        self.mean_value += (EWMA_WEIGHT if self.mean_value else 1.0) * (value - self.mean_value)
+        value_per_work = value / max(self.fleet.mean[service_class.name], 1e-6)
+        failure_keys = ("host", "class " + service_class.name, "plan " + plan.name)
+        pending = PendingRequest(
+            req, service_class, plan, tenant, now, now + req.left, value, value_per_work, failure_keys
+        )
         self.requests[req.id] = pending
-        pending.slow_start_charge = charge(self.work(pending), self.rng.random())
-        if req.left < 2 * TICK:  # no check would come round in time
+        pending.slow_start_charge = charge(self.relative_work(pending), self.rng.random())
+        if req.left < 2 * TICK:  # no scheduled check would run in time
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
-        elif self.shed(now, pending):
+        elif self.should_shed(now, pending):
             self.refuse(now, pending, RefusalReason.LOAD_SHED)
         elif tenant.available_ceiling_units(now) < req.units:
             wait = (req.units - tenant.ceiling_units) * tenant.spread / plan.ceiling_rate
@@ -118,94 +145,123 @@
         else:
             self.take_slot(now, pending)
 
-    def work(self, pending: PendingRequest) -> float:
-        """What a request is expected to take, over the mean: units tell it where requests differ in them."""
+    def relative_work(self, pending: PendingRequest) -> float:
+        """Returns the expected work of a request in requests of mean work.
+
+        It follows from the units where the settings allow requests to differ in them, otherwise from the mean
+        response time of the class.
+        """
         units = pending.req.units
-        self.units += (EWMA_WEIGHT if self.units else 1.0) * (units - self.units)
+        self.mean_units += (EWMA_WEIGHT if self.mean_units else 1.0) * (units - self.mean_units)
         if self.settings.most_units > 1:
-            return units / max(self.units, LEAST_UNITS)
+            return units / max(self.mean_units, MIN_MEAN_UNITS)
         return self.fleet.mean[pending.service_class.name] / max(self.fleet.service, SERVICE_LEAST)
 
-    def free_accounts(self, now: float) -> None:
-        """Many customers come only once. Past its windows an account tells no more than a new one would."""
-        for oldest in list(itertools.islice(self.tenant_quotas.values(), FREED_AT_ONCE)):
-            if now - oldest.last_request_at <= max(IDLE_MOST, 3 * oldest.window_length):
+    def drop_idle_tenants(self, now: float) -> None:
+        """Drops the quota state of tenants that have been idle for long; many tenants come only once.
+
+        Once its windows are over, a tenant's state holds nothing that a new one would not.
+        """
+        for oldest in list(itertools.islice(self.tenant_quotas.values(), IDLE_TENANTS_CHECKED)):
+            if now - oldest.last_request_at <= max(IDLE_TENANT_TIMEOUT, 3 * oldest.window_length):
                 return
             del self.tenant_quotas[oldest.name]
-            if (
-                oldest.outstanding_call or oldest.own_slots_in_use or oldest.waiting
-            ):  # a busy one holds up none behind it
+            # A tenant that is still in use moves to the end, so that it does not block those behind it.
+            if oldest.outstanding_call or oldest.own_slots_in_use or oldest.waiting:
                 self.tenant_quotas[oldest.name], oldest.last_request_at = oldest, now
 
-    def shed(self, now: float, pending: PendingRequest) -> bool:
-        """While answers come from servers that hold too much, what is worth least a unit of work is refused,
-        whatever the cause: one gateway of many has too few out for a limit of its own to relieve them."""
-        ranks = self.ranks = [*self.ranks[-63:], pending.value_per_work]
-        step, fleet, self.pass_at = now - self.pass_at, self.fleet, now
+    def should_shed(self, now: float, pending: PendingRequest) -> bool:
+        """Returns whether to shed a request while many responses come from congested servers.
+
+        Requests with the least value per unit of work are shed first, whatever causes the congestion. With
+        many gateways, each one has too few attempts out for a limit of its own to relieve the servers.
+        """
+        values = self.recent_values = [*self.recent_values[-63:], pending.value_per_work]
+        elapsed, fleet, self.admission_ratio_at = now - self.admission_ratio_at, self.fleet, now
         if fleet.pressure * math.exp(min(0.0, (fleet.answer_at + 1 - now) / PRESS_SPAN)) > PRESSED:
-            self.pass_share = max(SHED_LEAST, self.pass_share * math.exp(-SHED_FAST * min(step, 1.0)))
+            self.admission_ratio = max(
+                MIN_ADMISSION_RATIO,
+                self.admission_ratio * math.exp(-ADMISSION_DECREASE_RATE * min(elapsed, 1.0)),
+            )
         else:
-            self.pass_share = min(1.0, self.pass_share + SHED_BACK * step)
-        luck, most = (
-            self.rng.random(),
-            (1 - self.pass_share) * len(ranks) * (self.settings.gateways > LIMIT_MOST),
-        )
+            self.admission_ratio = min(1.0, self.admission_ratio + ADMISSION_INCREASE_RATE * elapsed)
+        draw = self.rng.random()
+        shed_count = (1 - self.admission_ratio) * len(values) * (self.settings.gateways > LIMIT_MOST)
         return (
-            most > 0
-            and luck * ranks.count(pending.value_per_work) + sum(v < pending.value_per_work for v in ranks)
-            < most
+            shed_count > 0
+            and draw * values.count(pending.value_per_work) + sum(v < pending.value_per_work for v in values)
+            < shed_count
         )
 
     def handle_over_quota(
         self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0
     ) -> None:
-        clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST and not self.queue
-        if pending.plan.over_worth > pending.plan.over_cost and clear:
+        """Refuses a request that is over quota, or admits it if that earns something and capacity is spare.
+
+        Args:
+            wait: seconds after which the client may retry.
+        """
+        has_spare_capacity = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST and not self.queue
+        if pending.plan.over_worth > pending.plan.over_cost and has_spare_capacity:
             pending.over_quota = True
             self.enqueue(now, pending)
         else:
             self.refuse(now, pending, reason, wait)
 
     def enqueue(self, now: float, pending: PendingRequest) -> None:
+        """Queues a request for a server, once it has its units and its open slot; sends it if possible."""
         tenant, units = pending.tenant, pending.req.units
         if tenant.available_ceiling_units(now) < units:
             self.refuse(now, pending, RefusalReason.CEILING)
             return
-        tenant.ceiling_units -= units  # spent before sending
-        self.line_up(pending)
-        most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * pending.service_class.aim)
-        self.queue = [j for j in self.queue if not j.finished] if len(self.queue) > most else self.queue
-        # What waits for this machine waits for a moment only: that is no overload.
-        if len(self.queue) > most and now >= self.fleet.hindered_until:
+        tenant.ceiling_units -= units  # spent before the request is sent
+        self.insert_into_queue(pending)
+        limit = max(MIN_QUEUE_LIMIT, self.fleet.own_rate(now) * QUEUE_TIME_SHARE * pending.service_class.aim)
+        self.queue = (
+            [each for each in self.queue if not each.finished] if len(self.queue) > limit else self.queue
+        )
+        # During the short backoff after a local error the queue grows without any overload.
+        if len(self.queue) > limit and now >= self.fleet.hindered_until:
             self.refuse(now, self.queue.pop(0), RefusalReason.QUEUE_FULL)
         self.drain_queue(now)
         if pending.stage == "queue" and not pending.finished:
-            self.schedule_check(pending.arrived_at + self.hold(pending), pending)
+            self.schedule_check(pending.arrived_at + self.max_queue_time(pending), pending)
 
-    def line_up(self, pending: PendingRequest) -> None:
+    def insert_into_queue(self, pending: PendingRequest) -> None:
+        """Inserts a request into the queue, ordered by quota and value per work."""
         pending.stage = "queue"
-        bisect.insort(self.queue, pending, key=lambda j: (not j.over_quota, j.value_per_work))
+        bisect.insort(self.queue, pending, key=lambda each: (not each.over_quota, each.value_per_work))
+
+    def max_queue_time(self, pending: PendingRequest) -> float:
+        """Returns for how many seconds after its arrival a request may wait for a server.
 
-    def hold(self, pending: PendingRequest) -> float:
-        """How long after its arrival a request may wait for a server: while it can still be sent with use,
-        and its refusal comes in the first half of its time. Of those not sent yet, there are many."""
+        An attempt that begins later would probably miss the aim of the class, and a refusal should come in
+        the first half of the time until the deadline. Requests without an attempt so far wait for
+        QUEUE_TIME_SHARE of the aim only, as there are many of them.
+        """
         useful = max(0.0, pending.service_class.aim - self.fleet.mean[pending.service_class.name])
-        share = 1.0 if pending.attempts_sent else QUEUE_HOLD
+        share = 1.0 if pending.attempts_sent else QUEUE_TIME_SHARE
         return min(useful, (pending.deadline - pending.arrived_at) / 2, pending.service_class.aim * share)
 
     def refuse(self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0) -> None:
-        ran = pending.service_class.effect != "safe" and (
+        """Gives a request up: refuses it where the client may retry safely, otherwise fails it.
+
+        Args:
+            wait: seconds after which the client may retry, bounded by the settings.
+        """
+        unrepeatable = pending.service_class.effect != "safe" and (
             pending.service_class.effect,
             pending.service_class.scope,
         ) != ("keyed", "all")
-        if not (ran and (pending.may_have_run or pending.live_attempts)):
-            most = self.settings.limits.max_retry_after if self.settings.limits.retry_after else 0.0
-            self.actions.append(api.Refuse(pending.req.id, min(max(wait, 0.0), most), reason.value))
+        if not (unrepeatable and (pending.may_have_run or pending.live_attempts)):
+            max_wait = self.settings.limits.max_retry_after if self.settings.limits.retry_after else 0.0
+            self.actions.append(api.Refuse(pending.req.id, min(max(wait, 0.0), max_wait), reason.value))
         else:
             self.actions.append(api.Fail(pending.req.id, reason.value))
         self.finish(now, pending)
 
     def finish(self, now: float, pending: PendingRequest) -> None:
+        """Forgets a request that has its final answer: cancels its attempts and releases its open slot."""
         pending.finished = True
         self.requests.pop(pending.req.id, None)
         self.actions += [
@@ -217,47 +273,63 @@
             self.count_open_request(pending.tenant, pending.held_slot, -1)
         pending.tenant.own_slots_in_use -= pending.held_slot < 0
 
-    def is_eligible(self, pending: PendingRequest, s: Server, now: float) -> bool:
+    def is_eligible(self, pending: PendingRequest, server: Server, now: float) -> bool:
+        """Returns whether a request may be sent to a server, given its attempts that may have run.
+
+        A keyed request may be retried only within the scope and the time in which servers discard duplicates,
+        an unsafe one only if no attempt may have run.
+        """
         unproven = pending.may_have_run + list(pending.live_attempts.values())
-        if s.host.id in pending.excluded_servers or not unproven or pending.service_class.effect == "safe":
-            return s.host.id not in pending.excluded_servers
+        if (
+            server.host.id in pending.excluded_servers
+            or not unproven
+            or pending.service_class.effect == "safe"
+        ):
+            return server.host.id not in pending.excluded_servers
         if pending.service_class.effect == "unsafe" or now >= self.retry_deadline(pending):
             return False
-        known, scope = [self.fleet.host(h) for h, _ in unproven], pending.service_class.scope
+        known, scope = [self.fleet.host(name) for name, _ in unproven], pending.service_class.scope
         if None in known:
             return False
         if scope == "all":
             return True
-        place = (lambda h: h.zone) if scope == "zone" else (lambda h: h.cell)
-        return all(place(h) == place(s.host) for h in known)
+        group = (lambda host: host.zone) if scope == "zone" else (lambda host: host.cell)
+        return all(group(host) == group(server.host) for host in known)
 
     def retry_deadline(self, pending: PendingRequest) -> float:
-        """Until when a further attempt may be written; no bound where none before may have run."""
+        """Returns until when a further attempt may be written; infinite if no attempt may have run."""
         unproven = pending.may_have_run + list(pending.live_attempts.values())
         if pending.service_class.effect == "safe" or not unproven:
             return math.inf
-        return repeat_until(min(sent for _, sent in unproven), pending.service_class.memory)
+        return repeat_until(min(sent_at for _, sent_at in unproven), pending.service_class.memory)
 
-    def admits_delayed_attempt(self, now: float, id: str, number: int, server: str) -> bool:
-        """Whether an attempt at a cold server, whose connection came up late, may still be written."""
-        pending, s = self.requests.get(id), self.fleet.servers.get(server)
-        if pending is None or s is None:
+    def admits_delayed_attempt(self, now: float, request_id: str, number: int, server_id: str) -> bool:
+        """Returns whether an attempt at a server in slow start may be written to a delayed connection."""
+        pending, server = self.requests.get(request_id), self.fleet.servers.get(server_id)
+        if pending is None or server is None:
             return False
-        return self.fleet.admits_late(s, (id, number), now, pending.slow_start_charge)
+        return self.fleet.admits_late(server, (request_id, number), now, pending.slow_start_charge)
 
-    def choose(self, now: float, pending: PendingRequest) -> Server | None:
+    def choose_server(self, now: float, pending: PendingRequest) -> Server | None:
+        """Returns the best eligible server for the next attempt, or None if no server can take it now."""
         if not pending.excluded_servers:
             return self.fleet.pick(now, pending.failure_keys, None, pending.slow_start_charge)
-        mates = self.cell_mates(pending)
-        if mates is not None:
-            fit = [s for s in mates if self.is_eligible(pending, s, now)]
-            return self.fleet.best(now, pending.failure_keys, fit, pending.slow_start_charge)
+        peers = self.cell_peers(pending)
+        if peers is not None:
+            eligible = [server for server in peers if self.is_eligible(pending, server, now)]
+            return self.fleet.best(now, pending.failure_keys, eligible, pending.slow_start_charge)
         return self.fleet.pick(
-            now, pending.failure_keys, lambda s: self.is_eligible(pending, s, now), pending.slow_start_charge
+            now,
+            pending.failure_keys,
+            lambda server: self.is_eligible(pending, server, now),
+            pending.slow_start_charge,
         )
 
-    def cell_mates(self, pending: PendingRequest) -> list[Server] | None:
-        """The servers of the cell that another attempt is bound to, where not all are in view; else None."""
+    def cell_peers(self, pending: PendingRequest) -> list[Server] | None:
+        """Returns the servers of the cell to which earlier attempts bind a request.
+
+        None if the request is not bound to a cell, or if all servers are in view anyway.
+        """
         tried = [name for name, _ in [*pending.may_have_run, *pending.live_attempts.values()]]
         bound = (pending.service_class.effect, pending.service_class.scope) == (
             "keyed",
@@ -267,62 +339,69 @@
         return self.fleet.cell_mates(host.cell) if host is not None else None
 
     def send_attempt(self, now: float, pending: PendingRequest) -> bool:
+        """Sends an attempt; returns False if the request may have no further one or no server is free."""
         if pending.attempts_begun >= self.settings.limits.max_attempts or pending.streaming:
             return False
-        s = (
-            self.choose(now, pending)
+        server = (
+            self.choose_server(now, pending)
             if self.settings.limits.second_copies or not pending.live_attempts
             else None
         )
-        if s is None:
+        if server is None:
             return False
-        cold = s.admission is not None and s.warmth(now, self.settings.rules) < 1.0
-        self.actions.append(api.Send(pending.req.id, s.host.id, 0, self.retry_deadline(pending), cold))
-        pending.live_attempts[pending.attempts_sent] = (s.host.id, now)
-        self.fleet.sent(s, (pending.req.id, pending.attempts_sent), now, pending.slow_start_charge)
+        slow_start = server.admission is not None and server.warmth(now, self.settings.rules) < 1.0
+        self.actions.append(
+            api.Send(pending.req.id, server.host.id, 0, self.retry_deadline(pending), slow_start)
+        )
+        pending.live_attempts[pending.attempts_sent] = (server.host.id, now)
+        self.fleet.sent(server, (pending.req.id, pending.attempts_sent), now, pending.slow_start_charge)
         pending.attempts_sent += 1
-        pending.excluded_servers.add(s.host.id)
+        pending.excluded_servers.add(server.host.id)
         pending.stage = "sent"
         self.schedule_check(now + self.fleet.patience(pending.service_class.name), pending)
         return True
 
     def drain_queue(self, now: float) -> None:
-        # Classes that no server has room for, by whether a cold one's place holds their work; what was tried
-        # before has fewer left.
-        stuck: set[tuple[str, bool]] = set()
+        """Sends queued requests, the most valuable ones first, as far as servers have capacity."""
+        # Classes for which no server has capacity, each with whether the work exceeds a place at a server in
+        # slow start. Only first attempts count here, since retries have fewer servers to go to.
+        blocked: set[tuple[str, bool]] = set()
         for pending in self.queue[::-1] if self.queue and self.fleet.room(now) else ():
             first = not pending.attempts_sent
             if not pending.finished:
                 kind = (pending.service_class.name, pending.slow_start_charge > 1.0)
-                if kind in stuck or not self.send_attempt(now, pending):
-                    stuck.update([kind] * first)
+                if kind in blocked or not self.send_attempt(now, pending):
+                    blocked.update([kind] * first)
                     continue
                 if first:
-                    clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST
-                    share = RETRY_SPARE if clear else RETRY_SHARE
+                    has_spare_capacity = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST
+                    earned = RETRIES_PER_REQUEST_UNLOADED if has_spare_capacity else RETRIES_PER_REQUEST
                     self.retry_budget = min(
-                        max(2.0, RETRY_MOST / self.settings.gateways), self.retry_budget + share
+                        max(2.0, MAX_SAVED_RETRIES / self.settings.gateways), self.retry_budget + earned
                     )
             self.queue.remove(pending)
-        if self.queue and self.trial_at <= now:  # no other event may come when a host's rest is over
-            trials = [at for s in self.fleet.up for _, at in s.rests.values() if at > now]
+        if self.queue and self.next_trial_at <= now:  # no event may come when a server's cool-down ends
+            trials = [at for server in self.fleet.up for _, at in server.rests.values() if at > now]
             trials += [self.fleet.hindered_until] * (self.fleet.hindered_until > now)
-            self.trial_at = min(trials, default=0.0)
+            self.next_trial_at = min(trials, default=0.0)
 
     def on_outcome(self, now: float, event: api.Outcome) -> None:
+        """Handles the end of an attempt: the request is finished, retried, queued again or given up."""
         pending = self.requests.get(event.id)
-        cls, keys = (pending.service_class, pending.failure_keys) if pending else (None, ("host",))
-        self.fleet.answered(now, event, cls, keys)
+        service_class, failure_keys = (
+            (pending.service_class, pending.failure_keys) if pending else (None, ("host",))
+        )
+        self.fleet.answered(now, event, service_class, failure_keys)
         if pending is None:
             return
-        sent = pending.live_attempts.pop(event.attempt, None)
+        attempt = pending.live_attempts.pop(event.attempt, None)
         if event.actual and self.settings.settles and pending.plan.rate and not pending.over_quota:
             pending.tenant.uncharged += event.actual - pending.req.units
         if event.final:
             self.finish(now, pending)
             return
-        if event.result in ("error", "timeout", "reset", "cancelled") and sent is not None:
-            pending.may_have_run.append(sent)
+        if event.result in ("error", "timeout", "reset", "cancelled") and attempt is not None:
+            pending.may_have_run.append(attempt)
         if event.result in api.NEVER_BEGAN:
             pending.attempts_not_begun += 1
             pending.excluded_servers.discard(event.host)
@@ -331,65 +410,72 @@
         if pending.live_attempts:
             return
         free = event.result == "connect_failed" or event.result in api.NEVER_BEGAN
-        cost = 0.0 if free else RETRY_FULL if event.result == "full" else 1.0
-        late = (
+        cost = 0.0 if free else FULL_RETRY_COST if event.result == "full" else 1.0
+        too_late = (
             now + max(TICK, self.fleet.mean[pending.service_class.name]) > pending.deadline
             or event.result == "moot"
         )
-        if late:
+        if too_late:
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
         elif self.retry_budget < cost:
             self.refuse(now, pending, RefusalReason.RETRIES_SPENT)
         elif self.send_attempt(now, pending):
             self.retry_budget -= cost
-        elif (free or event.result in ("full", "reset")) and self.may_wait(now, pending):
-            # All that it may go to are busy, which is no reason to give up what was turned away or lost. What
-            # was silent or erred has had its time at a host, and in overload would take that of others.
+        elif (free or event.result in ("full", "reset")) and self.may_wait_for_server(now, pending):
+            # All eligible servers are busy. A request that was rejected or lost waits for one of them. One
+            # that timed out or failed has used its time at a server; in overload it would delay the others.
             self.retry_budget -= cost
-            self.line_up(pending)
-            self.schedule_check(pending.arrived_at + self.hold(pending), pending)
+            self.insert_into_queue(pending)
+            self.schedule_check(pending.arrived_at + self.max_queue_time(pending), pending)
         else:
             self.refuse(now, pending, RefusalReason.NO_SERVER)
 
-    def may_wait(self, now: float, pending: PendingRequest) -> bool:
-        more = not pending.streaming and pending.attempts_begun < self.settings.limits.max_attempts
-        more = more and now < pending.arrived_at + self.hold(pending)
-        mates = self.cell_mates(pending) if more else None
-        servers = self.fleet.up if mates is None else mates
-        return more and any(self.is_eligible(pending, s, now) for s in servers)
+    def may_wait_for_server(self, now: float, pending: PendingRequest) -> bool:
+        """Returns whether a request may be queued for a retry: it has attempts, time and a server left."""
+        allowed = not pending.streaming and pending.attempts_begun < self.settings.limits.max_attempts
+        allowed = allowed and now < pending.arrived_at + self.max_queue_time(pending)
+        peers = self.cell_peers(pending) if allowed else None
+        servers = self.fleet.up if peers is None else peers
+        return allowed and any(self.is_eligible(pending, server, now) for server in servers)
 
     def schedule_check(self, at: float, pending: PendingRequest) -> None:
-        heapq.heappush(self.checks, (min(at, pending.deadline - 2 * TICK), pending.req.id))
+        """Schedules a check of a request, at the latest two ticks before its deadline."""
+        heapq.heappush(self.scheduled_checks, (min(at, pending.deadline - 2 * TICK), pending.req.id))
 
-    def tick(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
+        """Handles the timer: starts the watch on discovery again and runs the checks that are due."""
         if now >= self.timer_at - 1e-6:
             self.timer_at = math.inf
         if now >= self.watch_at:
             self.watch_at = math.inf
             self.actions.append(api.Watch(True))
-        while self.checks and self.checks[0][0] <= now + 1e-6:
-            name = heapq.heappop(self.checks)[1]
-            if name in self.requests:
-                self.check_request(now, self.requests[name])
+        while self.scheduled_checks and self.scheduled_checks[0][0] <= now + 1e-6:
+            request_id = heapq.heappop(self.scheduled_checks)[1]
+            if request_id in self.requests:
+                self.check_request(now, self.requests[request_id])
 
     def check_request(self, now: float, pending: PendingRequest) -> None:
-        ending = now >= pending.deadline - 2 * TICK - 1e-6
-        most = {"units": 2 * self.counter.timeout, "queue": self.hold(pending)}.get(pending.stage, math.inf)
-        if pending.stage != "sent" and (ending or now - pending.arrived_at >= most - 1e-6):
+        """Refuses a request that has waited too long, or looks for late attempts of one that was sent."""
+        near_deadline = now >= pending.deadline - 2 * TICK - 1e-6
+        max_wait = {"units": 2 * self.counter.timeout, "queue": self.max_queue_time(pending)}.get(
+            pending.stage, math.inf
+        )
+        if pending.stage != "sent" and (near_deadline or now - pending.arrived_at >= max_wait - 1e-6):
             self.refuse(now, pending, RefusalReason.WAITED)
-        elif pending.stage == "sent" and not ending and not pending.streaming:
+        elif pending.stage == "sent" and not near_deadline and not pending.streaming:
             self.handle_late_attempts(now, pending)
 
     def handle_late_attempts(self, now: float, pending: PendingRequest) -> None:
-        """An attempt long without answer: evidence against its host, and reason for another one, whatever the
-        cause. Harm: work done twice where an answer was only slow, so it draws on the budget for retries."""
-        patience = self.fleet.patience(pending.service_class.name) - TICK
-        late = [n for n, (_, sent) in pending.live_attempts.items() if now - sent >= patience]
+        """Reports late attempts to the failure detector, and starts a hedged attempt whatever the cause.
+
+        Trade-off: where an answer was only slow, work is done twice, so a hedged attempt costs a retry.
+        """
+        timeout = self.fleet.patience(pending.service_class.name) - TICK
+        late = [number for number, (_, sent_at) in pending.live_attempts.items() if now - sent_at >= timeout]
         for number in set(late) - pending.late_attempts:
-            out = self.fleet.servers[
-                pending.live_attempts[number][0]
-            ].out  # a silent one holds no other's place
-            self.fleet.out -= out.pop((pending.req.id, number), None) is not None
+            # A late attempt does not occupy a place at its server or among this gateway's attempts.
+            live_at_server = self.fleet.servers[pending.live_attempts[number][0]].out
+            self.fleet.out -= live_at_server.pop((pending.req.id, number), None) is not None
             self.fleet.detector.note(pending.live_attempts[number][0], pending.failure_keys, True, now)
         pending.late_attempts.update(late)
         self.schedule_check(now + max(2 * TICK, self.fleet.dev[pending.service_class.name]), pending)
@@ -405,6 +491,7 @@
         elif (
             self.settings.limits.cancel
             and pending.attempts_begun < self.settings.limits.max_attempts
-            and self.choose(now, pending)
+            and self.choose_server(now, pending)
         ):
-            self.actions.append(api.Cancel(pending.req.id, late[0]))  # its outcome starts the next attempt
+            # The outcome of the cancelled attempt starts the next one.
+            self.actions.append(api.Cancel(pending.req.id, late[0]))
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -237,7 +237,7 @@
     name, acts = w.ask()
     (send,), arrived = of(acts, api.Send), w.now
     w.gw.fleet.mean["read"] = 0.6  # of the aim of 1.0: an attempt begun later is answered too late
-    assert w.gw.hold(w.gw.requests[name]) <= 0.4
+    assert w.gw.max_queue_time(w.gw.requests[name]) <= 0.4
     w.now += 0.3
     w.do(api.HostList("delta", 2, (host("h2", started=w.now),)))
     w.gw.fleet.servers["h2"].admission.note(w.now, 99.0, ("other", 0))  # cold: it may be sent nothing for 2 s
