--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 BIG = plan(rate=1000.0, burst=4000.0)
 
 
-def test_few_are_out_at_each_server_and_the_rest_waits_in_order_of_worth():
+def test_attempts_per_server_are_limited_and_queued_requests_go_by_value():
     w = World(settings(plans=[BIG]), [host("h1")])
     sent = [s for _ in range(8) for s in of(w.ask(cls="read")[1], api.Send)]
     assert len(sent) == 2  # half of what all gateways together leave at one server
@@ -14,13 +14,13 @@
     assert [s.id for s in of(w.end(sent[0]), api.Send)] == [name]
 
 
-def test_waiting_requests_are_bounded():
+def test_queue_length_is_bounded():
     w = World(settings(plans=[BIG]), [host("h1")])
     acts = [a for _ in range(200) for a in w.ask()[1]]
     assert len(of(acts, api.Refuse)) > 150
 
 
-def test_a_fraction_of_an_attempt_is_rounded_by_chance_over_gateways_and_servers():
+def test_fraction_of_an_attempt_limit_is_rounded_randomly_over_gateways_and_servers():
     out = 0
     for k in range(3):
         w = World(settings(plans=[BIG], gateways=3, index=k), [host(f"h{n}") for n in range(30)], seed=k)
@@ -28,7 +28,7 @@
     assert 100 < out < 140  # four a server over all, not six
 
 
-def test_one_gateway_of_many_has_few_out_in_all_and_a_silent_attempt_holds_no_place():
+def test_one_gateway_of_many_has_few_attempts_out_and_a_late_attempt_does_not_count():
     w = World(settings(plans=[BIG], gateways=200), [host(f"h{n}") for n in range(50)])
     sends = [s for _ in range(20) for s in of(w.ask(cls="note", left=3.0)[1], api.Send)]
     assert len(sends) == 2  # twice its even part of four a server
@@ -36,7 +36,7 @@
     assert of(w.ask(cls="note")[1], api.Send)
 
 
-def test_a_slow_counter_is_asked_less_and_a_call_then_stands_for_those_unasked():
+def test_slow_counter_gets_fewer_calls_that_charge_for_requests_without_a_call():
     calls, most = {}, {}
     for slow in (0.001, 0.045):
         w = World(settings(gateways=100, plans=[plan(rate=2.0, burst=8.0)]))
@@ -51,7 +51,7 @@
     assert most[0.001] <= 1.1 and 1.1 < most[0.045] <= 4.0
 
 
-def test_hosts_that_are_gone_are_forgotten_in_time():
+def test_state_of_removed_servers_is_dropped():
     w = World(settings(plans=[BIG]), [host("h0")])
     for n in range(1, 200):
         for send in of(w.ask()[1], api.Send):
@@ -63,7 +63,7 @@
     assert len(w.gw.fleet.detector.hosts) < 40
 
 
-def test_a_host_that_is_gone_is_known_while_something_is_out_there():
+def test_state_of_a_removed_server_is_kept_while_an_attempt_is_out_there():
     w = World(settings(plans=[BIG]), [host("h1"), host("h2")])
     (send,) = of(w.ask(cls="note", left=3.0)[1], api.Send)
     other = "h2" if send.host == "h1" else "h1"
@@ -86,7 +86,7 @@
     return seen
 
 
-def test_a_gateway_of_many_keeps_to_a_part_of_the_servers_and_each_server_has_many_gateways():
+def test_each_of_many_gateways_uses_a_subset_and_each_server_is_in_several_subsets():
     hosts = [host(f"h{n}") for n in range(60)]
     sets = [used(k, hosts) for k in range(40)]
     assert all(8 <= len(s) <= 15 for s in sets)
@@ -95,7 +95,7 @@
     assert len(World(settings(gateways=2), hosts).gw.fleet.subset) == 60
 
 
-def test_where_none_of_its_own_servers_is_able_another_one_is_used():
+def test_server_outside_the_subset_is_used_if_none_inside_is_available():
     w = World(settings(plans=[BIG], gateways=40), [host(f"h{n}") for n in range(60)])
     near = {s.host.id for s in w.gw.fleet.subset}
     asked = [w.ask(cls="note") for _ in range(12)]  # nothing is answered: its part of the attempts is out
@@ -107,7 +107,7 @@
     assert send.host not in near
 
 
-def test_servers_that_go_are_made_up_for_and_the_others_stay():
+def test_removed_server_is_replaced_in_the_subset_and_the_others_stay():
     w = World(settings(plans=[BIG], gateways=40), [host(f"h{n}") for n in range(60)])
     before = [s.host.id for s in w.gw.fleet.subset]
     w.do(api.HostList("delta", 2, (host(before[3], state="leaving"),)))
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,3 +1,5 @@
+"""Quotas over gateways: leases, counter failures, debt, ceilings, open limits, admission without a lease."""
+
 import random
 
 import pytest
@@ -6,446 +8,461 @@
 from calicomast import interface as api
 
 
-def served(w, tries, **kw):
-    n = 0
-    for _ in range(tries):
-        _, acts = w.ask(**kw)
-        for s in of(acts, api.Send):
-            n += 1
-            w.end(s)
-    return n
+def count_served(world, requests, **request):
+    """Asks so many times, answers every attempt at once, and returns the number of attempts."""
+    served = 0
+    for _ in range(requests):
+        _, actions = world.ask(**request)
+        for send in of(actions, api.Send):
+            served += 1
+            world.end(send)
+    return served
 
 
-def test_light_customer_makes_no_call():
-    w = World()
-    assert served(w, 1) == 1
-    assert not [a for _, a in w.log if isinstance(a, api.Count)]
+def test_tenant_with_low_demand_causes_no_counter_call():
+    world = World()
+    assert count_served(world, 1) == 1
+    assert not [action for _, action in world.log if isinstance(action, api.Count)]
 
 
-def test_lease_is_added_and_quota_is_held():
-    w = World()
-    n = served(w, 40)
-    assert 8 <= n <= 16  # the burst, and what the part of the window that has passed has refilled
-    assert [a for _, a in w.log if isinstance(a, api.Count)]
-    assert max(w.counts.values()) <= 16
+def test_leases_are_counted_and_the_quota_holds():
+    world = World()
+    served = count_served(world, 40)
+    assert 8 <= served <= 16  # the burst, and the refill in the part of the window that has passed
+    assert [action for _, action in world.log if isinstance(action, api.Count)]
+    assert max(world.counts.values()) <= 16
 
 
-def test_full_window_refuses_at_once_without_calls():
-    w = World()
-    served(w, 40)
-    before = len([a for _, a in w.log if isinstance(a, api.Count)])
-    name, acts = w.ask()
-    assert of(acts, api.Refuse) and len(of(acts, api.Count)) == 0 and before
+def test_exhausted_window_refuses_at_once_without_a_call():
+    world = World()
+    count_served(world, 40)
+    before = len([action for _, action in world.log if isinstance(action, api.Count)])
+    _, actions = world.ask()
+    assert of(actions, api.Refuse) and len(of(actions, api.Count)) == 0 and before
 
 
-def test_two_bursts_do_not_pass_back_to_back_at_a_turn():
-    w = World()
-    total = 0
-    start = w.now
-    while w.now < start + 12:
-        total += served(w, 2)
-        w.wait(0.1)
-    assert total <= 8 + 2 * (w.now - start) + 4
+def test_no_two_bursts_are_admitted_across_a_window_change():
+    world = World()
+    served = 0
+    start = world.now
+    while world.now < start + 12:
+        served += count_served(world, 2)
+        world.wait(0.1)
+    assert served <= 8 + 2 * (world.now - start) + 4
 
 
-def test_excess_is_taken_back():
-    w = World()
-    w.mode = "hold"
+def test_excess_of_a_lease_is_returned_to_the_counter():
+    world = World()
+    world.mode = "hold"
     calls, sends = [], True
-    while sends:  # the last request waits for the call that is out
-        _, acts = w.ask()
-        calls, sends = calls + of(acts, api.Count), of(acts, api.Send)
+    while sends:  # the last request waits for the outstanding call
+        _, actions = world.ask()
+        calls, sends = calls + of(actions, api.Count), of(actions, api.Send)
     call = calls[0]
-    acts = w.do(api.Counted(call.name, "ok", 40, 0.002))  # others have filled the window meanwhile
-    assert [c for c in of(acts, api.Count) if c.amount < 0 and c.name == call.name]
-    assert not of(acts, api.Send) and of(acts, api.Refuse)
+    actions = world.do(api.Counted(call.name, "ok", 40, 0.002))  # other gateways used up the quota
+    assert [each for each in of(actions, api.Count) if each.amount < 0 and each.name == call.name]
+    assert not of(actions, api.Send) and of(actions, api.Refuse)
 
 
-def test_timed_out_add_gives_no_units_and_request_is_settled_soon():
-    w = World()
-    w.mode = "silent"
-    start = w.now
-    n = served(w, 60)
-    assert n <= 8 / 2 + 2 * (w.now - start) + 4  # the even share, never a lease
-    assert all(not j.stage == "units" for j in w.gw.requests.values())
-    assert w.gw.tenant_quotas["c"].lease == 0
+def test_timed_out_call_grants_no_units_and_leaves_no_request_waiting():
+    world = World()
+    world.mode = "silent"
+    start = world.now
+    served = count_served(world, 60)
+    assert served <= 8 / 2 + 2 * (world.now - start) + 4  # the even share, never a lease
+    assert all(not pending.stage == "units" for pending in world.gw.requests.values())
+    assert world.gw.tenant_quotas["c"].lease == 0
 
 
-def test_silent_counter_calls_back_off():
-    w = World()
-    w.mode = "silent"
+def test_calls_back_off_while_the_counter_does_not_answer():
+    world = World()
+    world.mode = "silent"
     for _ in range(200):
-        w.ask()
-        w.wait(0.02)
-    assert len([a for _, a in w.log if isinstance(a, api.Count)]) < 20
+        world.ask()
+        world.wait(0.02)
+    assert len([action for _, action in world.log if isinstance(action, api.Count)]) < 20
 
 
-def test_lost_counts_are_added_again():
-    w = World(settings(plans=[plan(rate=2.0, burst=20.0)]))
-    served(w, 12)
-    name = max(w.counts, key=lambda k: w.counts[k])
-    ours = w.counts[name]
-    assert ours > 3
-    w.counts.clear()
-    served(w, 3)
-    assert w.counts[name] >= ours
+def test_counts_lost_by_the_counter_are_added_again():
+    world = World(settings(plans=[plan(rate=2.0, burst=20.0)]))
+    count_served(world, 12)
+    name = max(world.counts, key=lambda each: world.counts[each])
+    added = world.counts[name]
+    assert added > 3
+    world.counts.clear()
+    count_served(world, 3)
+    assert world.counts[name] >= added
 
 
-def test_refused_call_keeps_the_charge_owed():
-    w = World()
-    w.mode = "refuse"
-    n = served(w, 30)
-    w.mode = "answer"
-    w.wait(1.2)
-    served(w, 3)
-    assert max(w.counts.values()) >= n
+def test_charge_of_a_rejected_call_stays_due():
+    world = World()
+    world.mode = "refuse"
+    served = count_served(world, 30)
+    world.mode = "answer"
+    world.wait(1.2)
+    count_served(world, 3)
+    assert max(world.counts.values()) >= served
 
 
 def test_ceiling_holds_at_start_and_without_counter():
-    p = plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0)
+    plan_with_ceiling = plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0)
     for mode in ("answer", "silent", "refuse"):
-        w = World(settings(plans=[p]))
-        w.mode = mode
-        start, n = w.now, 0
-        while w.now < start + 3:
-            n += served(w, 4)
-            w.wait(0.05)
-            # half of the ceiling's rate: two gateways share the customer, and nothing is there at the start
-            assert n <= 5.0 * (w.now - start) + 1
-
-
-def test_open_limit_is_held_over_gateways_by_the_counter():
-    p = plan(rate=50.0, burst=100.0, open_limit=2)
-    a = World(settings(plans=[p]))
-    b = World(settings(plans=[p], index=1), seed=2)
-    b.counts = a.counts
+        world = World(settings(plans=[plan_with_ceiling]))
+        world.mode = mode
+        start, served = world.now, 0
+        while world.now < start + 3:
+            served += count_served(world, 4)
+            world.wait(0.05)
+            # Half of the ceiling's rate, since two gateways share the tenant; the ceiling starts empty.
+            assert served <= 5.0 * (world.now - start) + 1
+
+
+def test_open_limit_holds_over_gateways():
+    limited = plan(rate=50.0, burst=100.0, open_limit=2)
+    first = World(settings(plans=[limited]))
+    second = World(settings(plans=[limited], index=1), seed=2)
+    second.counts = first.counts
     sends = []
     for _ in range(3):
-        for w in (a, b):
-            sends += [(w, s) for s in of(w.ask()[1], api.Send)]
+        for world in (first, second):
+            sends += [(world, send) for send in of(world.ask()[1], api.Send)]
     assert len(sends) == 2
-    w, s = sends[0]
-    w.end(s)
-    assert len(of(w.ask()[1], api.Send)) == 1
+    world, send = sends[0]
+    world.end(send)
+    assert len(of(world.ask()[1], api.Send)) == 1
 
 
-def test_beyond_quota_only_where_it_earns():
-    w = World(settings(plans=[plan(over_worth=0.3, over_cost=0.0)]))
-    assert served(w, 40) == 40
-    w = World(settings(plans=[plan(over_worth=0.3, over_cost=0.5)]))
-    assert served(w, 40) < 40
+def test_over_quota_requests_are_admitted_only_if_the_plan_earns_by_it():
+    world = World(settings(plans=[plan(over_worth=0.3, over_cost=0.0)]))
+    assert count_served(world, 40) == 40
+    world = World(settings(plans=[plan(over_worth=0.3, over_cost=0.5)]))
+    assert count_served(world, 40) < 40
 
 
-def test_without_counter_the_even_share_is_granted():
-    w = World(settings(counter=False))
-    n = served(w, 40)
-    assert 4 <= n <= 8 and not [a for _, a in w.log if isinstance(a, api.Count)]
+def test_even_share_is_admitted_if_there_is_no_counter():
+    world = World(settings(counter=False))
+    served = count_served(world, 40)
+    assert 4 <= served <= 8 and not [action for _, action in world.log if isinstance(action, api.Count)]
 
 
 def test_plan_without_a_rate_needs_only_open_slots():
-    w = World(settings(plans=[plan(rate=0.0, burst=0.0, open_limit=3)]))
-    assert served(w, 30) == 30
+    world = World(settings(plans=[plan(rate=0.0, burst=0.0, open_limit=3)]))
+    assert count_served(world, 30) == 30
 
 
-def test_settled_units_are_charged():
-    w = World(settings(settles=True))
-    _, acts = w.ask()
-    s = of(acts, api.Send)[0]
-    w.end(s, actual=6)
-    assert served(w, 40) < 11
+def test_actual_units_of_a_request_are_charged():
+    world = World(settings(settles=True))
+    _, actions = world.ask()
+    send = of(actions, api.Send)[0]
+    world.end(send, actual=6)
+    assert count_served(world, 40) < 11
 
 
-def test_a_quiet_time_does_not_save_up_more_than_the_burst():
-    w = World()
-    acct_len = 4.0
-    w.ask()
-    phase = w.gw.tenant_quotas["c"].window_start
-    w.now = phase + 2 * acct_len - 0.5  # late in a window that nothing was drawn in
-    n = served(w, 60)
-    assert n <= 8 + 4 + 1  # the burst, and what its even part passed uncharged
+def test_idle_tenant_saves_up_at_most_one_burst():
+    world = World()
+    window_length = 4.0
+    world.ask()
+    window_start = world.gw.tenant_quotas["c"].window_start
+    world.now = window_start + 2 * window_length - 0.5  # late in a window without any use
+    served = count_served(world, 60)
+    assert served <= 8 + 4 + 1  # the burst, and what the local allowance admits without a charge
 
 
-def test_debt_is_brought_along_once():
-    a, b = World(settings(plans=[plan(burst=40.0, rate=10.0)])), None
-    b = World(settings(plans=[plan(burst=40.0, rate=10.0)], index=1), seed=2)
-    b.counts = a.counts
+def test_overdraft_is_carried_into_the_next_window_once():
+    first, second = World(settings(plans=[plan(burst=40.0, rate=10.0)])), None
+    second = World(settings(plans=[plan(burst=40.0, rate=10.0)], index=1), seed=2)
+    second.counts = first.counts
     start = 0.0
-    for turn in range(6):
-        for w in (a, b):
-            w.now = max(a.now, b.now)
-            served(w, 60)
-        start = a.gw.tenant_quotas["c"].window_start
-        a.now = b.now = start + 4.0 + 0.001
-        assert max(a.counts.values()) <= 40 + 10 * 4 + 3, turn  # never more owed than was drawn
-
-
-def test_even_part_of_the_open_limit_needs_no_call():
-    w = World(settings(plans=[plan(rate=50.0, burst=100.0, open_limit=4)]))
-    acts = w.ask()[1] + w.ask()[1]
-    assert len(of(acts, api.Send)) == 2 and not of(acts, api.Count)
-    assert not of(w.ask()[1], api.Send)
-
-
-def test_small_burst_over_many_gateways_passes_light_customers_and_holds_busy_ones():
-    w = World(settings(gateways=10, plans=[plan(rate=0.8, burst=3.0)]))
-    for k in range(20):
-        _, acts = w.ask(customer=f"c{k}", spread=8)
-        assert of(acts, api.Send)
-        assert len(of(acts, api.Count)) <= 2  # the second writes off what the store has let run over
-        w.end(of(acts, api.Send)[0])
-    assert served(w, 30, customer="c0", spread=8) <= 6
-
-
-def test_the_end_of_a_quota_is_kept_for_what_is_worth_most():
-    w = World(settings(plans=[plan(rate=0.5, burst=40.0)]))
-    low = served(w, 100, cls="read")
-    high = served(w, 100, cls="write")
-    assert high >= 5  # nothing would be left without what was kept
+    for window in range(6):
+        for world in (first, second):
+            world.now = max(first.now, second.now)
+            count_served(world, 60)
+        start = first.gw.tenant_quotas["c"].window_start
+        first.now = second.now = start + 4.0 + 0.001
+        assert max(first.counts.values()) <= 40 + 10 * 4 + 3, window  # no debt beyond what was used
+
+
+def test_even_share_of_the_open_limit_needs_no_call():
+    world = World(settings(plans=[plan(rate=50.0, burst=100.0, open_limit=4)]))
+    actions = world.ask()[1] + world.ask()[1]
+    assert len(of(actions, api.Send)) == 2 and not of(actions, api.Count)
+    assert not of(world.ask()[1], api.Send)
+
+
+def test_small_burst_over_many_gateways_admits_low_demand_and_bounds_high_demand():
+    world = World(settings(gateways=10, plans=[plan(rate=0.8, burst=3.0)]))
+    for number in range(20):
+        _, actions = world.ask(customer=f"c{number}", spread=8)
+        assert of(actions, api.Send)
+        assert len(of(actions, api.Count)) <= 2  # the second one writes off units above the burst
+        world.end(of(actions, api.Send)[0])
+    assert count_served(world, 30, customer="c0", spread=8) <= 6
+
+
+def test_end_of_a_quota_is_reserved_for_the_most_valuable_class():
+    world = World(settings(plans=[plan(rate=0.5, burst=40.0)]))
+    low = count_served(world, 100, cls="read")
+    high = count_served(world, 100, cls="write")
+    assert high >= 5  # without the reserve nothing would be left
     assert low >= 25
 
 
-def test_ordinary_path_is_back_within_two_seconds_after_the_counter_was_silent():
-    w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
-    w.mode = "silent"
+def test_leasing_resumes_within_two_seconds_after_the_counter_answers_again():
+    world = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
+    world.mode = "silent"
     for _ in range(80):
-        for s in of(w.ask()[1], api.Send):
-            w.end(s)
-        w.wait(0.02)
-    w.mode, start = "answer", w.now
-    while w.now < start + 2:
-        for s in of(w.ask()[1], api.Send):
-            w.end(s)
-        w.wait(0.04)
-    assert w.gw.counter.failures == 0
-    assert [a for t, a in w.log if isinstance(a, api.Count) and t > start]
-
-
-def test_rest_of_the_open_limit_is_shared_by_a_count():
-    conf = [settings(index=k, plans=[plan(rate=50.0, burst=100.0, open_limit=3)]) for k in (0, 1)]
-    a, b = World(conf[0]), World(conf[1], seed=2)
-    b.counts = a.counts
-    assert sum(len(of(w.ask()[1], api.Send)) for _ in range(3) for w in (a, b)) == 3
-
-
-def test_an_add_without_answer_leaves_the_requests_on_it_to_the_local_share():
-    w = World(settings(plans=[plan(rate=0.5, burst=8.0)]))
-    w.mode = "hold"
-    calls, n = [], 0
+        for send in of(world.ask()[1], api.Send):
+            world.end(send)
+        world.wait(0.02)
+    world.mode, start = "answer", world.now
+    while world.now < start + 2:
+        for send in of(world.ask()[1], api.Send):
+            world.end(send)
+        world.wait(0.04)
+    assert world.gw.counter.failures == 0
+    assert [action for at, action in world.log if isinstance(action, api.Count) and at > start]
+
+
+def test_remainder_of_the_open_limit_is_shared_by_a_count():
+    both = [settings(index=index, plans=[plan(rate=50.0, burst=100.0, open_limit=3)]) for index in (0, 1)]
+    first, second = World(both[0]), World(both[1], seed=2)
+    second.counts = first.counts
+    assert sum(len(of(world.ask()[1], api.Send)) for _ in range(3) for world in (first, second)) == 3
+
+
+def test_requests_waiting_for_a_timed_out_call_get_only_the_local_allowance():
+    world = World(settings(plans=[plan(rate=0.5, burst=8.0)]))
+    world.mode = "hold"
+    calls, sent = [], 0
     for _ in range(12):
-        acts = w.ask()[1]
-        calls, n = calls + of(acts, api.Count), n + len(of(acts, api.Send))
-    acts = w.do(api.Counted(calls[0].name, "timeout", 0, 0.05))
-    assert w.gw.tenant_quotas["c"].lease == 0 and n + len(of(acts, api.Send)) <= 5
-    assert len(of(acts, api.Refuse)) >= 3
-
-
-def test_what_a_quiet_half_lets_pass_too_much_is_taken_from_the_next_window():
-    w = World(settings(plans=[plan(rate=2.0, burst=40.0)]))
-    w.ask()
-    w.now = w.gw.tenant_quotas["c"].window_start + 2 * 20.0 - 0.5
-    n, start = served(w, 120), w.now
-    assert n <= 80
-    w.now += 1.0
-    n += served(w, 120)
-    assert n <= 80 + 2 * (w.now - start) + 4
-
-
-def test_without_the_counter_many_gateways_pass_no_more_than_the_burst_of_a_customer():
-    for n in (1, 3, 200):
-        passed = 0
-        for k in range(n):
-            w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateways=n, index=k), seed=k)
-            w.mode = "silent"
-            passed += served(w, 3 if n > 10 else 40, spread=n)
-        assert passed <= 2.5 * 8, n  # two windows may be met
-
-
-def test_plan_share_passes_what_was_granted_before_while_the_counter_is_away():
-    w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateways=100))
+        actions = world.ask()[1]
+        calls, sent = calls + of(actions, api.Count), sent + len(of(actions, api.Send))
+    actions = world.do(api.Counted(calls[0].name, "timeout", 0, 0.05))
+    assert world.gw.tenant_quotas["c"].lease == 0 and sent + len(of(actions, api.Send)) <= 5
+    assert len(of(actions, api.Refuse)) >= 3
+
+
+def test_overdraft_after_an_idle_time_is_taken_from_the_next_window():
+    world = World(settings(plans=[plan(rate=2.0, burst=40.0)]))
+    world.ask()
+    world.now = world.gw.tenant_quotas["c"].window_start + 2 * 20.0 - 0.5
+    served, start = count_served(world, 120), world.now
+    assert served <= 80
+    world.now += 1.0
+    served += count_served(world, 120)
+    assert served <= 80 + 2 * (world.now - start) + 4
+
+
+def test_gateways_without_an_answering_counter_admit_at_most_about_two_bursts():
+    for gateways in (1, 3, 200):
+        served = 0
+        for index in range(gateways):
+            world = World(
+                settings(plans=[plan(rate=2.0, burst=8.0)], gateways=gateways, index=index), seed=index
+            )
+            world.mode = "silent"
+            served += count_served(world, 3 if gateways > 10 else 40, spread=gateways)
+        assert served <= 2.5 * 8, gateways  # the requests may fall into two windows
+
+
+def test_granted_rate_of_a_plan_is_admitted_while_the_counter_does_not_answer():
+    world = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateways=100))
     before = 0
-    for k in range(200):
-        before += served(w, 1, customer=f"b{k}", spread=60)
-        w.now += 0.1
-    w.mode, during = "silent", 0
-    for k in range(200):
-        during += served(w, 1, customer=f"d{k}", spread=60)
-        w.now += 0.1
+    for number in range(200):
+        before += count_served(world, 1, customer=f"b{number}", spread=60)
+        world.now += 0.1
+    world.mode, during = "silent", 0
+    for number in range(200):
+        during += count_served(world, 1, customer=f"d{number}", spread=60)
+        world.now += 0.1
     assert before > 150 and 40 < during <= before + 20
 
 
-def test_customers_that_come_once_do_not_pile_up():
-    w = World(settings(plans=[plan(rate=1000.0, burst=4000.0)]))
-    busy = w.ask("busy", left=1000.0)[1]
-    for n in range(2000):
-        for send in of(w.ask(f"c{n}")[1], api.Send):
-            w.end(send)
-        w.now += 0.1
-    assert len(w.gw.tenant_quotas) < 350 and busy
+def test_tenants_seen_once_are_dropped_while_another_request_is_open():
+    world = World(settings(plans=[plan(rate=1000.0, burst=4000.0)]))
+    busy = world.ask("busy", left=1000.0)[1]
+    for number in range(2000):
+        for send in of(world.ask(f"c{number}")[1], api.Send):
+            world.end(send)
+        world.now += 0.1
+    assert len(world.gw.tenant_quotas) < 350 and busy
 
 
-def test_a_spoilt_answer_of_the_counter_does_not_stop_the_next_call():
-    for result, elapsed, again in (
+def test_malformed_response_of_the_counter_does_not_stop_the_next_call():
+    for result, elapsed, calls_again in (
         ("spoilt", 0.002, True),
         ("timeout", 0.002, True),
         ("timeout", 0.05, False),
     ):
-        w = World(settings(plans=[plan(rate=2.0, burst=8.0)]))
-        w.mode = "hold"
+        world = World(settings(plans=[plan(rate=2.0, burst=8.0)]))
+        world.mode = "hold"
         calls = []
         while not calls:
-            calls = of(w.ask()[1], api.Count)
-        w.do(api.Counted(calls[0].name, result, 0.0, elapsed))
-        assert bool([a for n in range(8) for a in of(w.ask(f"c{n % 2}")[1], api.Count)]) == again
-
-
-def test_units_added_by_a_call_with_a_spoilt_answer_are_not_lost():
-    w = World(settings(plans=[plan(rate=0.001, burst=40.0)]))
-    real, calls = w.counts, 0
-    w.mode = "hold"
+            calls = of(world.ask()[1], api.Count)
+        world.do(api.Counted(calls[0].name, result, 0.0, elapsed))
+        assert (
+            bool([call for number in range(8) for call in of(world.ask(f"c{number % 2}")[1], api.Count)])
+            == calls_again
+        )
+
+
+def test_units_added_by_a_call_with_a_malformed_response_are_not_lost():
+    world = World(settings(plans=[plan(rate=0.001, burst=40.0)]))
+    counts, calls = world.counts, 0
+    world.mode = "hold"
     sent = refused = 0
     for _ in range(60):
-        acts = w.ask()[1]
-        while acts:
-            sent += len(of(acts, api.Send))
-            refused += len(of(acts, api.Refuse))
-            after = [a for s in of(acts, api.Send) for a in w.end(s)]
-            for call in of(acts, api.Count):
+        actions = world.ask()[1]
+        while actions:
+            sent += len(of(actions, api.Send))
+            refused += len(of(actions, api.Refuse))
+            later = [action for send in of(actions, api.Send) for action in world.end(send)]
+            for call in of(actions, api.Count):
                 calls += 1
-                real[call.name] = real.get(call.name, 0) + call.amount
-                told = ("spoilt", 0.0) if calls % 3 else ("ok", real[call.name])
-                after += w.do(api.Counted(call.name, *told, 0.002))
-            acts = after
+                counts[call.name] = counts.get(call.name, 0) + call.amount
+                answer = ("spoilt", 0.0) if calls % 3 else ("ok", counts[call.name])
+                later += world.do(api.Counted(call.name, *answer, 0.002))
+            actions = later
     assert calls > 6 and 36 <= sent <= 46 and sent + refused == 60
-    assert max(real.values()) <= 48
+    assert max(counts.values()) <= 48
 
 
 def test_units_are_added_again_once_when_the_counter_lost_its_counts():
-    w = World(settings(plans=[plan(rate=0.001, burst=100.0)]))
-    while len([a for _, a in w.log if isinstance(a, api.Count)]) < 6:
-        served(w, 1)
-    (name,), before = w.counts, max(w.counts.values())
-    w.counts.clear()
-    calls = len(w.log)
-    served(w, 12)
-    again = [a.amount for _, a in w.log[calls:] if isinstance(a, api.Count)]
-    assert len(again) > 4 and w.counts[name] <= before + 14  # not twice, not ever more
-
-
-def next_call(w):
-    """The next call that asks for units, however many requests pass before."""
+    world = World(settings(plans=[plan(rate=0.001, burst=100.0)]))
+    while len([action for _, action in world.log if isinstance(action, api.Count)]) < 6:
+        count_served(world, 1)
+    (name,), before = world.counts, max(world.counts.values())
+    world.counts.clear()
+    logged = len(world.log)
+    count_served(world, 12)
+    amounts = [action.amount for _, action in world.log[logged:] if isinstance(action, api.Count)]
+    assert len(amounts) > 4 and world.counts[name] <= before + 14  # added again once, not with each call
+
+
+def next_units_call(world):
+    """Sends requests until one of them causes a call for units, and returns this call."""
     for _ in range(200):
-        w.now += 0.01
-        calls = [c for c in of(w.ask()[1], api.Count) if c.amount > 0]
+        world.now += 0.01
+        calls = [call for call in of(world.ask()[1], api.Count) if call.amount > 0]
         if calls:
             return calls[0]
     raise AssertionError("no call")
 
 
-def test_the_overdraft_is_brought_along_though_the_first_answer_is_lost():
-    w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
-    w.mode = "hold"
-    call = next_call(w)
-    w.gw.tenant_quotas["c"].debt = 5.0
-    w.do(api.Counted(call.name, "timeout", 0.0, 0.002))  # its line broke: it may have been added
-    second = next_call(w)
-    acts = w.do(api.Counted(call.name, "ok", call.amount + second.amount, 0.002))
-    assert [c.amount for c in of(acts, api.Count) if c.amount >= 5]
-
-
-def test_what_could_not_be_added_is_not_taken_for_lost_from_the_count():
-    w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
-    w.mode = "hold"
-    call = next_call(w)
-    w.gw.tenant_quotas["c"].debt = 5.0
-    assert of(w.do(api.Counted(call.name, "ok", call.amount, 0.002)), api.Count)
-    w.do(api.Counted(call.name, "full", 0.0, 0.002))  # the overdraft
-    second = next_call(w)
-    acts = w.do(api.Counted(call.name, "ok", call.amount + second.amount, 0.002))
-    assert sum(c.amount for c in of(acts, api.Count)) < call.amount
-
-
-def crowded(mode="refuse"):
-    """One gateway of many, by itself with its customers; the counter turns all calls away."""
-    w = World(settings(plans=[plan(rate=0.5, burst=2.0)], gateways=40), [host(f"h{n}") for n in range(60)])
-    w.mode = mode
-    return w
-
-
-def passes(w, customer="c"):
-    sends = of(w.ask(customer=customer, spread=30)[1], api.Send)
+def test_overdraft_is_added_although_the_first_response_is_lost():
+    world = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
+    world.mode = "hold"
+    call = next_units_call(world)
+    world.gw.tenant_quotas["c"].debt = 5.0
+    world.do(api.Counted(call.name, "timeout", 0.0, 0.002))  # the connection broke: it may have been added
+    second = next_units_call(world)
+    actions = world.do(api.Counted(call.name, "ok", call.amount + second.amount, 0.002))
+    assert [call.amount for call in of(actions, api.Count) if call.amount >= 5]
+
+
+def test_rejected_correction_is_not_taken_for_a_lost_count():
+    world = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
+    world.mode = "hold"
+    call = next_units_call(world)
+    world.gw.tenant_quotas["c"].debt = 5.0
+    assert of(world.do(api.Counted(call.name, "ok", call.amount, 0.002)), api.Count)
+    world.do(api.Counted(call.name, "full", 0.0, 0.002))  # the call that adds the overdraft
+    second = next_units_call(world)
+    actions = world.do(api.Counted(call.name, "ok", call.amount + second.amount, 0.002))
+    assert sum(correction.amount for correction in of(actions, api.Count)) < call.amount
+
+
+def world_with_rejecting_counter(mode="refuse"):
+    """One of 40 gateways; its counter rejects all calls unless `mode` says otherwise."""
+    world = World(
+        settings(plans=[plan(rate=0.5, burst=2.0)], gateways=40), [host(f"h{n}") for n in range(60)]
+    )
+    world.mode = mode
+    return world
+
+
+def count_admitted(world, customer="c"):
+    """Sends a request of a tenant with 30 gateways and returns the number of attempts, which are answered."""
+    sends = of(world.ask(customer=customer, spread=30)[1], api.Send)
     for send in sends:
-        w.end(send)
+        world.end(send)
     return len(sends)
 
 
-def test_a_customer_seen_seldom_passes_unasked_while_the_counter_turns_calls_away():
-    w = crowded()
-    assert sum(passes(w, f"c{k}") for k in range(60)) == 60
+def test_rarely_seen_tenants_are_admitted_without_a_lease_while_the_counter_rejects_calls():
+    world = world_with_rejecting_counter()
+    assert sum(count_admitted(world, f"c{number}") for number in range(60)) == 60
 
 
-def test_a_customer_that_asks_far_beyond_its_rate_does_not_pass_unasked():
-    often, seldom = crowded(), crowded()
-    passed = 0
+def test_tenant_far_over_its_rate_is_not_admitted_without_a_lease():
+    frequent, rare = world_with_rejecting_counter(), world_with_rejecting_counter()
+    admitted = 0
     for _ in range(40):
-        passed += passes(seldom)
-        seldom.now += 60.0  # its even part of the rate
-        often.now += 1.0
-        last = passes(often)
-    assert passed > 30 and not last
+        admitted += count_admitted(rare)
+        rare.now += 60.0  # one request per minute is the tenant's even share of its rate
+        frequent.now += 1.0
+        last = count_admitted(frequent)
+    assert admitted > 30 and not last
 
 
-def test_what_the_counter_grants_at_a_level_decides_what_passes_there_unasked():
-    w = crowded("hold")
-    for k in range(30):  # counts at their end, of customers that look quiet here
-        for c in of(w.ask(customer=f"c{k}", spread=30)[1], api.Count):
-            w.do(api.Counted(c.name, "ok", 50.0, 0.002))
-    w.mode = "refuse"
-    assert not any(passes(w, f"d{k}") for k in range(10))
+def test_grants_at_a_demand_level_decide_admission_without_a_lease_there():
+    world = world_with_rejecting_counter("hold")
+    for number in range(30):  # exhausted counts of tenants that have little demand at this gateway
+        for call in of(world.ask(customer=f"c{number}", spread=30)[1], api.Count):
+            world.do(api.Counted(call.name, "ok", 50.0, 0.002))
+    world.mode = "refuse"
+    assert not any(count_admitted(world, f"d{number}") for number in range(10))
 
 
-def test_a_call_turned_away_is_not_made_again_for_the_same_request():
-    _, acts = crowded().ask(spread=30)
-    assert len(of(acts, api.Count)) == 1
+def test_rejected_call_is_not_repeated_for_the_same_request():
+    _, actions = world_with_rejecting_counter().ask(spread=30)
+    assert len(of(actions, api.Count)) == 1
 
 
-def test_a_customer_of_many_gateways_that_keeps_just_within_its_rate_is_hardly_refused():
+def test_tenant_just_within_its_rate_is_rarely_refused_with_many_gateways():
     rng, counts = random.Random(5), {}
     worlds = [
-        World(settings(gateways=20, plans=[plan(rate=4.0, burst=8.0)], index=k), seed=k) for k in range(20)
+        World(settings(gateways=20, plans=[plan(rate=4.0, burst=8.0)], index=index), seed=index)
+        for index in range(20)
     ]
-    passed = 0
-    for w in worlds:
-        w.counts = counts
-    for k in range(200):
-        w = rng.choice(worlds)
-        w.now = 1000.0 + k / 3.6
-        passed += served(w, 1, spread=20)
-    assert passed >= 196
+    served = 0
+    for world in worlds:
+        world.counts = counts
+    for number in range(200):
+        world = rng.choice(worlds)
+        world.now = 1000.0 + number / 3.6
+        served += count_served(world, 1, spread=20)
+    assert served >= 196
 
 
-def thin(**kw):
-    """A gateway of many, and a customer whose even part of the burst is less than a unit."""
-    return World(settings(gateways=20, limits={"max_retry_after": 60.0}, **kw))
+def world_with_low_rate_tenants(**changes):
+    """One of 20 gateways; a tenant's even share of the burst is less than a unit."""
+    return World(settings(gateways=20, limits={"max_retry_after": 60.0}, **changes))
 
 
 @pytest.mark.parametrize("share, least, most", [(0.99, 0.95, 1.0), (0.6, 0.02, 0.5)])
-def test_what_passes_unasked_loses_a_bounded_part_of_what_passes(share, least, most):
-    """The counter turns all away in the end, and as many were granted at every level as `share` says."""
-    w = thin(plans=[plan(over_cost=1.0)])
-    w.mode = "refuse"
-    for use in w.gw.grant_statistics.values():
-        use.granted_share, use.observations = share, 50
-    passed = asked = 0
-    for n in range(600):
+def test_loss_by_admission_without_a_lease_is_bounded(share, least, most):
+    """The counter rejects all calls, after it granted the part `share` of the units at every demand level."""
+    world = world_with_low_rate_tenants(plans=[plan(over_cost=1.0)])
+    world.mode = "refuse"
+    for statistics in world.gw.grant_statistics.values():
+        statistics.granted_share, statistics.observations = share, 50
+    admitted = asked = 0
+    for number in range(600):
         asked += 1
-        for send in of(w.ask(customer=f"c{n}", spread=20)[1], api.Send):
-            passed += 1
-            w.end(send)
-        w.wait(0.02)
-    assert least <= passed / asked <= most
-
-
-def test_a_class_of_no_worth_is_answered():
-    none = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 0.0, 0.0, False, 0.0)
-    w = thin(classes={"read": none})
-    assert [a for n in range(30) for a in w.ask(customer=f"c{n}", spread=20)[1] if isinstance(a, api.Send)]
+        for send in of(world.ask(customer=f"c{number}", spread=20)[1], api.Send):
+            admitted += 1
+            world.end(send)
+        world.wait(0.02)
+    assert least <= admitted / asked <= most
+
+
+def test_class_without_value_is_admitted():
+    worthless = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 0.0, 0.0, False, 0.0)
+    world = world_with_low_rate_tenants(classes={"read": worthless})
+    assert [
+        action
+        for number in range(30)
+        for action in world.ask(customer=f"c{number}", spread=20)[1]
+        if isinstance(action, api.Send)
+    ]
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("result", ["error", "timeout", "reset", "cancelled"])
-def test_unsafe_is_not_sent_again_nor_refused_when_it_may_have_run(result):
+def test_unsafe_request_that_may_have_run_fails_without_a_retry(result):
     w = world()
     s = of(w.ask(cls="note")[1], api.Send)[0]
     acts = w.end(s, result)
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("result", ["full", "connect_failed"])
-def test_unsafe_is_sent_again_when_it_never_ran(result):
+def test_unsafe_request_that_never_ran_is_retried(result):
     w = world()
     s = of(w.ask(cls="note")[1], api.Send)[0]
     acts = w.end(s, result)
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("cls", ["write", "cellwrite"])
-def test_keyed_stays_in_its_group_and_time(cls):
+def test_keyed_request_is_retried_only_in_its_scope_and_time(cls):
     hosts = [host("a1", "z1", 1), host("a2", "z1", 1), host("b1", "z2", 2), host("b2", "z2", 2)]
     w = world(hosts)
     s = of(w.ask(cls=cls)[1], api.Send)[0]
@@ -47,7 +47,7 @@
     assert not of(acts, api.Send) and not of(acts, api.Refuse) and of(acts, api.Fail)
 
 
-def test_draining_and_gone_hosts_get_nothing_new():
+def test_draining_and_removed_servers_get_no_new_attempt():
     w = world()
     w.do(api.HostList("delta", 2, (host("h1", state="leaving"),)))
     w.do(api.HostList("full", 3, (host("h2"),)))
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 200])
-def test_cold_host_gets_no_more_than_it_bears_from_all_gateways_together(gateways):
+def test_server_in_slow_start_gets_a_bounded_load_from_all_gateways_together(gateways):
     hosts = [host(f"h{k}") for k in range(10)]
     ws = [World(settings(plans=[BIG], gateways=gateways, index=k), hosts, seed=k) for k in range(gateways)]
     cold, total, now, out = [], 0, 1000.0, []
@@ -84,7 +84,7 @@
         assert sum(t <= x < t + 2.0 for x in cold) <= 2 * 2.0 * max(warm, 0.2) * fair * 2 + 3
 
 
-def test_silent_host_is_left_and_its_safe_work_copied():
+def test_unresponsive_server_is_avoided_and_its_safe_requests_are_hedged():
     w = world()
     first = of(w.ask()[1], api.Send)[0]
     sent = []
@@ -98,7 +98,7 @@
     assert [a for _, a in w.log if isinstance(a, api.Send) and a.id == first.id and a.host != first.host]
 
 
-def test_no_second_copy_where_not_allowed():
+def test_no_hedged_attempt_where_the_settings_forbid_it():
     w = world(limits=dict(second_copies=False))
     out, most = {}, 0
     for _ in range(40):
@@ -118,7 +118,7 @@
     assert most == 1
 
 
-def test_restart_is_deterministic():
+def test_equal_seeds_give_equal_actions():
     logs = []
     for _ in range(2):
         w = world([host(f"h{k}") for k in range(6)])
@@ -129,7 +129,7 @@
     assert logs[0] == logs[1]
 
 
-def test_late_and_odd_events_are_taken_quietly():
+def test_late_and_unknown_events_cause_no_answer_and_no_error():
     w = world()
     name, acts = w.ask()
     s = of(acts, api.Send)[0]
@@ -143,7 +143,7 @@
     w.do(api.Message(1, b"x"))
 
 
-def test_discovery_on_request_is_watched_and_asked_again():
+def test_watch_on_discovery_starts_again_after_a_failure():
     conf = settings(discovery="ask")
     w = World(conf)
     assert [a for _, a in w.log if a == api.Watch(True)]
@@ -151,7 +151,7 @@
     assert api.Watch(True) in w.wait(1.2)
 
 
-def test_stream_is_left_to_the_client():
+def test_request_whose_response_is_streaming_is_left_alone():
     w = world()
     s = of(w.ask()[1], api.Send)[0]
     w.do(api.Began(s.id, 0, s.host, 0.1))
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("cls", ["write", "cellwrite"])
-def test_keyed_fails_where_its_group_has_no_other_host(cls):
+def test_keyed_request_fails_if_its_scope_has_no_other_server(cls):
     w = world([host("a1", "z1", 1), host("b1", "z2", 2), host("b2", "z2", 2)])
     s = of(w.ask(cls=cls)[1], api.Send)[0]
     assert s.host == "a1"
@@ -168,13 +168,13 @@
     assert not of(acts, api.Send) and len(of(acts, api.Fail)) == 1
 
 
-def test_repeat_with_no_time_left_is_answered_at_once():
+def test_request_with_too_little_time_left_is_refused_at_once():
     w = world()
     assert of(w.ask(left=0.01)[1], api.Refuse)
 
 
 @pytest.mark.parametrize("result", ["full", "error", "timeout"])
-def test_host_that_fails_one_plan_or_class_keeps_the_others(result):
+def test_server_that_fails_one_plan_or_class_still_serves_the_others(result):
     bad, good = {"plan": "p", "cls": "note"}, {"plan": "q", "cls": "read"}
     w = World(settings(plans=[BIG, plan("q", rate=1000.0, burst=4000.0)], gateways=1), [host("h1")])
     for _ in range(12):
@@ -194,7 +194,7 @@
     assert "h1" in [s.host for _ in range(4) for s in of(w.ask(**good)[1], api.Send)]
 
 
-def test_retries_at_the_start_are_no_storm_whatever_the_number_of_gateways():
+def test_initial_retries_are_bounded_over_any_number_of_gateways():
     for gateways in (1, 200):
         again = 0
         for k in range(gateways):
@@ -204,14 +204,14 @@
         assert again <= 15
 
 
-def test_no_timer_when_nothing_is_due():
+def test_no_timer_is_set_when_nothing_is_scheduled():
     w = world()
     s = of(w.ask()[1], api.Send)[0]
     w.end(s)
     assert not of(w.wait(1.0), api.SetTimer)
 
 
-def test_idle_accounts_are_dropped():
+def test_quota_state_of_idle_tenants_is_dropped():
     w = world()
     for k in range(300):
         for s in of(w.ask(customer=f"c{k}")[1], api.Send):
@@ -220,7 +220,7 @@
     assert len(w.gw.tenant_quotas) < 70
 
 
-def test_overload_of_servers_sheds_what_is_worth_least_with_many_gateways():
+def test_server_overload_sheds_the_least_valuable_class_with_many_gateways():
     w = World(settings(plans=[BIG], gateways=50), [host(f"h{k}") for k in range(10)])
     served = {"read": 0, "write": 0}
     for k in range(400):
@@ -232,7 +232,7 @@
     assert served["read"] < 0.5 * served["write"] and served["write"] < 150
 
 
-def test_a_request_waits_no_longer_than_it_can_still_be_sent_with_use():
+def test_queued_request_is_given_up_once_an_attempt_would_miss_its_aim():
     w = World(settings(gateways=1), [host("h1")])
     name, acts = w.ask()
     (send,), arrived = of(acts, api.Send), w.now
@@ -263,7 +263,7 @@
 
 
 @pytest.mark.parametrize("result", api.NEVER_BEGAN)
-def test_an_attempt_that_never_began_spends_none_and_blames_no_server(result):
+def test_attempt_that_never_began_is_not_counted_and_not_held_against_a_server(result):
     w = World(settings(gateways=1, limits={"max_attempts": 1}), [host("h1"), host("h2")])
     name, acts = w.ask()
     sends = of(acts, api.Send)
