--- a/calicomast/leases.py
+++ b/calicomast/leases.py
@@ -244,7 +244,7 @@
         elif call.kind == "slot":
             self.on_slot_counted(now, event, call)
         elif call.window == tenant.window and event.result not in ("ok", "spoilt"):
-            # The amount was not added, so a later total without it must not be taken for a lost count.
+            # The amount may be missing from the count, so a total without it does not mean a lost count.
             tenant.added -= call.amount
             tenant.unconfirmed += call.amount * (event.result == "timeout")
 
--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -261,7 +261,7 @@
         self.finish(now, pending)
 
     def finish(self, now: float, pending: PendingRequest) -> None:
-        """Forgets a request that has its final answer: cancels its attempts and releases its open slot."""
+        """Removes a request that is answered or abandoned: cancels its attempts and releases its slot."""
         pending.finished = True
         self.requests.pop(pending.req.id, None)
         self.actions += [
--- a/calicomast/quota.py
+++ b/calicomast/quota.py
@@ -115,7 +115,7 @@
         self.used = 0.0  # units admitted here in this window
         self.used_last_window = 0.0  # units admitted here in the window before; 0 if that is longer ago
         self.outstanding_call: CounterCall | None = None
-        self.exhausted_until = 0.0  # no units are to be had before this time
+        self.exhausted_until = 0.0  # no units are available before this time
         self.last_request_at = now
         self.rng = rng
         self.rounding = rng.random()  # random draw of this window that decides on fractions of a request
@@ -123,8 +123,8 @@
         self.recent_requests = 0.0  # decaying number of earlier requests at this gateway
         self.recent_requests_at = now
         self.found_exhausted_at = -math.inf
-        # The ceiling is split evenly, so that no failure can exceed it. It starts empty, as the use before a
-        # restart of this gateway is unknown.
+        # Each gateway has an even share of the ceiling, so that it holds whatever fails. The share starts
+        # empty, as the use before a restart of this gateway is unknown.
         self.ceiling_updated_at = now
         self.ceiling_units = min(plan.ceiling_burst, (now - started_at) * plan.ceiling_rate) / self.spread
 
