--- a/calicomast/leases.py
+++ b/calicomast/leases.py
@@ -1,4 +1,4 @@
-"""Admission by quota: units and open slots of tenants, and the calls to the counter service for them.
+"""Admission by quota: units and concurrency slots of tenants, and the calls to the counter service for them.
 
 A request is admitted by a lease, by the local allowance, or without either where the counter cannot be asked.
 `LeasePolicy` is a base class of GatewayPolicy in policy.py.
@@ -23,7 +23,7 @@
     stable_hash,
 )
 from calicomast.rules import RefusalReason
-from calicomast.servers import TICK, Fleet
+from calicomast.servers import TICK, LoadBalancer
 
 # Share of a burst that is reserved from the class with the least value per unit, for the one with the most.
 RESERVED_BURST_SHARE = 0.2
@@ -37,7 +37,7 @@
 # Part of a total. Totals are exact to seven digits; a difference below this part is a rounding error.
 TOTAL_TOLERANCE = 1e-4
 EARLY_TIMEOUT = 0.9  # part of the timeout; a call that times out earlier was lost with its connection
-SLOT_EPOCH = 5.0  # seconds; one count of open requests covers this time
+SLOT_EPOCH = 5.0  # seconds; one count of concurrent requests covers this time
 
 
 class LeasePolicy(ABC):
@@ -56,7 +56,7 @@
 
     settings: api.Settings
     rng: random.Random
-    fleet: Fleet
+    balancer: LoadBalancer
     counter: CounterMonitor
     grant_statistics: dict[tuple[str, int], GrantStatistics]
     requests: dict[str, PendingRequest]
@@ -76,7 +76,7 @@
 
     @abstractmethod
     def enqueue(self, now: float, pending: PendingRequest) -> None:
-        """Queues a request for a server, once it has its units and its open slot."""
+        """Queues a request for a server, once it has its units and its concurrency slot."""
 
     @abstractmethod
     def schedule_check(self, at: float, pending: PendingRequest) -> None:
@@ -87,7 +87,7 @@
         return (
             RESERVED_BURST_SHARE
             * pending.plan.burst
-            * (1 - pending.service_class.worth / self.max_class_value)
+            * (1 - pending.service_class.value / self.max_class_value)
             if self.max_class_value
             else 0.0
         )
@@ -136,7 +136,7 @@
             return
         if now < tenant.exhausted_until or self.units_left(now, pending) < 0:
             wait = (pending.req.units - available) / tenant.plan.rate
-            self.handle_over_quota(now, pending, RefusalReason.QUOTA, wait)
+            self.handle_over_quota(now, pending, RefusalReason.OVER_QUOTA, wait)
         elif may_call and self.counter.is_available(now):
             tenant.waiting.append(pending.req.id)
             self.schedule_check(now + 2 * self.counter.timeout + TICK, pending)
@@ -160,7 +160,7 @@
             pending.tenant.used += units
             self.take_slot(now, pending)
         else:
-            self.handle_over_quota(now, pending, RefusalReason.QUOTA_UNKNOWN)
+            self.handle_over_quota(now, pending, RefusalReason.COUNTER_UNAVAILABLE)
 
     def accepts_loss(self, now: float, loss: float) -> bool:
         """Returns whether a request with this expected loss may be admitted without a lease.
@@ -213,9 +213,9 @@
     def call_counter(self, name: int, amount: float, lifetime: float, call: CounterCall) -> None:
         """Adds an amount to a count; the counter keeps the count for the lifetime, 1 to 60 seconds."""
         self.outstanding_calls.setdefault(name, []).append(call)
-        self.actions.append(api.Count(name, amount, min(60.0, max(lifetime, 1.0))))
+        self.actions.append(api.AddToCounter(name, amount, min(60.0, max(lifetime, 1.0))))
 
-    def on_counted(self, now: float, event: api.Counted) -> None:
+    def on_counted(self, now: float, event: api.CounterResult) -> None:
         """Handles the result of the oldest outstanding call for a count."""
         if event.name not in self.outstanding_calls:
             return
@@ -301,25 +301,26 @@
             self.call_for_units(now, tenant)
 
     def take_slot(self, now: float, pending: PendingRequest, may_call: bool = True) -> None:
-        """Takes an open slot for a request and queues it, or handles it as over quota.
+        """Takes a concurrency slot for a request and queues it, or handles it as over quota.
 
-        Each gateway has an even share of the open limit to itself. The remaining slots are shared by a count
-        at the counter, which is called where its answer may change the decision. Otherwise the number of open
-        requests is estimated by Little's law from the tenant's request rate, which its units bound, and the
-        mean response time.
+        Each gateway has an even share of the concurrency limit to itself. The remaining slots are shared by
+        a count at the counter, which is called where its answer may change the decision. Otherwise the number
+        of concurrent requests is estimated by Little's law from the tenant's request rate, which its units
+        bound, and the mean response time.
         """
         tenant, plan = pending.tenant, pending.plan
-        own, shared = divmod(plan.open_limit, tenant.spread)
+        own, shared = divmod(plan.concurrency_limit, tenant.spread)
         rate = max(tenant.total, tenant.used) / max(now - tenant.window_start, tenant.window_length / 4)
-        mean_open = (
+        mean_concurrency = (
             min(rate, plan.rate or rate)
             / max(pending.req.units, 1e-9)
-            * self.fleet.mean[pending.service_class.name]
+            * self.balancer.mean_latency[pending.service_class.name]
         )
         over_probability = 1 - sum(
-            mean_open**n * math.exp(-mean_open) / math.factorial(n) for n in range(plan.open_limit)
+            mean_concurrency**n * math.exp(-mean_concurrency) / math.factorial(n)
+            for n in range(plan.concurrency_limit)
         )
-        cost = max(0.0, plan.over_cost - plan.over_worth)
+        cost = max(0.0, plan.over_quota_cost - plan.over_quota_value)
         pending.stage = "slot"
         if tenant.own_slots_in_use < own:
             pending.held_slot = -1
@@ -333,30 +334,30 @@
                 < self.counter.call_probability(max(over_probability, MINOR_CALL_BENEFIT) * cost)
             )
         ):
-            self.count_open_request(tenant, int(now / SLOT_EPOCH) + 1, 1, pending)
+            self.count_concurrent_request(tenant, int(now / SLOT_EPOCH) + 1, 1, pending)
             self.schedule_check(pending.deadline, pending)
             return
-        elif plan.open_limit and (
-            plan.open_limit >= tenant.spread or over_probability * cost >= 1 - over_probability
+        elif plan.concurrency_limit and (
+            plan.concurrency_limit >= tenant.spread or over_probability * cost >= 1 - over_probability
         ):
-            self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT)
+            self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT_REACHED)
             return
         self.enqueue(now, pending)
 
-    def count_open_request(
+    def count_concurrent_request(
         self, tenant: TenantQuota, epoch: int, amount: int, pending: PendingRequest | None = None
     ) -> None:
-        """Adds to the count of open requests of an epoch: 1 for `pending`, or -1 to release a slot."""
+        """Adds to the count of concurrent requests of an epoch: 1 for `pending`, or -1 to release a slot."""
         call = CounterCall(tenant, "slot" if pending else "correction", epoch, pending=pending)
         self.call_counter(stable_hash("open", tenant.name, epoch), amount, 2 * SLOT_EPOCH, call)
 
-    def on_slot_counted(self, now: float, event: api.Counted, call: CounterCall) -> None:
+    def on_slot_counted(self, now: float, event: api.CounterResult, call: CounterCall) -> None:
         """Handles the result of the call that takes a shared slot for a request."""
         pending, tenant, ok = call.pending, call.tenant, event.result == "ok"
-        if ok and (pending.finished or event.total > tenant.plan.open_limit % tenant.spread):
-            self.count_open_request(tenant, call.window, -1)
-        if ok and not pending.finished and event.total > tenant.plan.open_limit % tenant.spread:
-            self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT)
+        if ok and (pending.finished or event.total > tenant.plan.concurrency_limit % tenant.spread):
+            self.count_concurrent_request(tenant, call.window, -1)
+        if ok and not pending.finished and event.total > tenant.plan.concurrency_limit % tenant.spread:
+            self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT_REACHED)
         elif not pending.finished:
             pending.held_slot = call.window if ok else 0
             self.enqueue(now, pending) if ok else self.take_slot(now, pending, False)
--- a/calicomast/pending.py
+++ b/calicomast/pending.py
@@ -17,11 +17,11 @@
         value_per_work: value for each unit of work, by which requests are ordered.
         failure_keys: scopes in which a server may fail the request: wholly, for its class, for its plan.
         stage: "units", "slot" or "queue" while the request waits for that, then "sent".
-        slow_start_charge: charge against the budget of a server in slow start, see slow_start.py.
+        charge: charge against the budget of a server in slow start, see slow_start.py.
         demand_level: the tenant's demand level at this gateway when the request arrived.
         over_quota: whether the request was admitted over quota.
-        held_slot: the open slot that the request holds: 0 none, -1 one of this gateway's own, else the epoch
-            of the shared count in which it was taken.
+        held_slot: the concurrency slot that the request holds: 0 none, -1 one of this gateway's own, else
+            the epoch of the shared count in which it was taken.
         attempts_sent: number of attempts, and the number of the next one.
         attempts_not_begun: those among them that never began, for reasons that are not the server's.
         live_attempts: server id and send time of each attempt without an outcome, by attempt number.
@@ -40,7 +40,7 @@
     value_per_work: float
     failure_keys: tuple[str, ...]
     stage: str = "units"
-    slow_start_charge: float = 1.0
+    charge: float = 1.0
     demand_level: int = 0
     over_quota: bool = False
     held_slot: int = 0
--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -14,17 +14,26 @@
 import random
 
 from calicomast import interface as api
-from calicomast.admission import charge
 from calicomast.leases import LeasePolicy
 from calicomast.pending import PendingRequest
 from calicomast.quota import EWMA_WEIGHT, CounterCall, CounterMonitor, GrantStatistics, TenantQuota
-from calicomast.rules import RefusalReason, repeat_until
-from calicomast.servers import LIMIT_MOST, PRESS_SPAN, PRESSED, ROOM_CLEAR, SERVICE_LEAST, TICK, Fleet, Server
+from calicomast.rules import RefusalReason, retry_deadline
+from calicomast.servers import (
+    CONGESTION_TIME_CONSTANT,
+    MAX_ATTEMPTS_PER_SERVER,
+    MIN_SERVICE_TIME,
+    SHEDDING_THRESHOLD,
+    SPARE_CAPACITY_SHARE,
+    TICK,
+    LoadBalancer,
+    ServerState,
+)
+from calicomast.slow_start import slow_start_charge
 
 MIN_MEAN_UNITS = 1e-9  # of a request; lower bound of the mean as a divisor
 # Share of requests that the counter is assumed to grant at each demand level, before any was observed.
 GRANTED_SHARE_PRIORS = (0.7, 0.6, 0.4, 0.2, 0.1)
-QUEUE_TIME_SHARE = 0.5  # part of its class's aim that a request may wait for a server
+QUEUE_TIME_SHARE = 0.5  # part of its class's latency target that a request may wait for a server
 MIN_QUEUE_LIMIT = 4  # requests that may always wait for a server
 IDLE_TENANT_TIMEOUT = 30.0  # seconds; least time for which the quota state of an idle tenant is kept
 # Idle tenants that are checked with each request. More than one, so that they cannot pile up.
@@ -43,17 +52,11 @@
     """All decisions of one gateway."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
-        """Starts without servers, leases and requests.
-
-        Args:
-            settings: the settings of the deployment.
-            seed: seed of all random draws.
-            now: clock time in seconds.
-        """
+        """Starts at clock time `now` without servers, leases and requests; `seed` is that of all draws."""
         self.settings = settings
         self.started_at = now
         self.rng = random.Random(seed)
-        self.fleet = Fleet(settings, self.rng)
+        self.balancer = LoadBalancer(settings, self.rng)
         self.counter = CounterMonitor(settings)
         self.grant_statistics = {
             (plan, level): GrantStatistics(now, share)
@@ -66,7 +69,7 @@
         self.outstanding_calls: dict[int, list[CounterCall]] = {}  # by count name, oldest first
         self.mean_units = 0.0  # moving average of a request's units
         self.retry_budget = INITIAL_RETRIES / settings.gateways
-        self.max_class_value = max(c.worth for c in settings.classes.values())
+        self.max_class_value = max(c.value for c in settings.classes.values())
         self.scheduled_checks: list[tuple[float, str]] = []  # heap of times and request ids
         self.timer_at = self.watch_at = math.inf
         self.next_trial_at = 0.0  # when the queue is tried again because a server's cool-down ends
@@ -82,32 +85,32 @@
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Handles one event at clock time `now` and returns the actions to carry out."""
         self.actions = []
-        self.fleet.now = now
-        self.fleet.proceed()
+        self.balancer.now = now
+        self.balancer.continue_view_rebuild()
         match event:
             case api.Request():
                 self.on_request(now, event)
             case api.Outcome():
                 self.on_outcome(now, event)
-            case api.Counted():
+            case api.CounterResult():
                 self.on_counted(now, event)
-            case api.Timer():
+            case api.TimerExpired():
                 self.on_timer(now)
-            case api.HostList():
-                self.fleet.listed(now, event)
+            case api.ServerListUpdate():
+                self.balancer.apply_server_list(now, event)
                 if event.mode == "failed":
                     self.watch_at = now + 1.0
                 elif event.mode == "cached" and self.settings.discovery == "ask":
-                    self.actions.append(api.Watch(True))
-            case api.Began() if event.id in self.requests:
+                    self.actions.append(api.WatchServerList(True))
+            case api.AttemptStarted() if event.id in self.requests:
                 self.requests[event.id].streaming = True
-            case api.Gone() if event.id in self.requests:
+            case api.ClientDisconnected() if event.id in self.requests:
                 self.finish(now, self.requests[event.id])
         self.drain_queue(now)
         while self.scheduled_checks and self.scheduled_checks[0][1] not in self.requests:
             heapq.heappop(self.scheduled_checks)
         trial = self.next_trial_at if self.queue and self.next_trial_at > now else math.inf
-        update = now + TICK if self.fleet.members.unfinished else math.inf
+        update = now + TICK if self.balancer.membership.is_rebuilding else math.inf
         next_at = min(
             self.scheduled_checks[0][0] if self.scheduled_checks else math.inf, self.watch_at, trial, update
         )
@@ -117,29 +120,37 @@
         return self.actions
 
     def on_request(self, now: float, req: api.Request) -> None:
-        """Handles a new request: refuses it at once, or starts with its quota or its open slot."""
-        service_class, plan = self.settings.classes[req.cls], self.settings.plans[req.plan]
-        tenant = self.tenant_quotas.pop(req.customer, None)
+        """Handles a new request: refuses it at once, or starts with its quota or its concurrency slot."""
+        service_class, plan = self.settings.classes[req.service_class], self.settings.plans[req.plan]
+        tenant = self.tenant_quotas.pop(req.tenant, None)
         if tenant is None:
             tenant = TenantQuota(req, plan, self.started_at, now, self.rng)
-        self.tenant_quotas[req.customer], tenant.last_request_at = tenant, now
+        self.tenant_quotas[req.tenant], tenant.last_request_at = tenant, now
         self.drop_idle_tenants(now)
-        value = service_class.worth * plan.price * req.units
+        value = service_class.value * plan.value_factor * req.units
         self.mean_value += (EWMA_WEIGHT if self.mean_value else 1.0) * (value - self.mean_value)
-        value_per_work = value / max(self.fleet.mean[service_class.name], 1e-6)
-        failure_keys = ("host", "class " + service_class.name, "plan " + plan.name)
+        value_per_work = value / max(self.balancer.mean_latency[service_class.name], 1e-6)
+        failure_keys = ("server", "class " + service_class.name, "plan " + plan.name)
         pending = PendingRequest(
-            req, service_class, plan, tenant, now, now + req.left, value, value_per_work, failure_keys
+            req,
+            service_class,
+            plan,
+            tenant,
+            now,
+            now + req.remaining_time,
+            value,
+            value_per_work,
+            failure_keys,
         )
         self.requests[req.id] = pending
-        pending.slow_start_charge = charge(self.relative_work(pending), self.rng.random())
-        if req.left < 2 * TICK:  # no scheduled check would run in time
+        pending.charge = slow_start_charge(self.relative_work(pending), self.rng.random())
+        if req.remaining_time < 2 * TICK:  # no scheduled check would run in time
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
         elif self.should_shed(now, pending):
             self.refuse(now, pending, RefusalReason.LOAD_SHED)
         elif tenant.available_ceiling_units(now) < req.units:
             wait = (req.units - tenant.ceiling_units) * tenant.spread / plan.ceiling_rate
-            self.refuse(now, pending, RefusalReason.CEILING, wait)
+            self.refuse(now, pending, RefusalReason.CEILING_REACHED, wait)
         elif plan.rate:
             self.request_units(now, pending)
         else:
@@ -153,9 +164,11 @@
         """
         units = pending.req.units
         self.mean_units += (EWMA_WEIGHT if self.mean_units else 1.0) * (units - self.mean_units)
-        if self.settings.most_units > 1:
+        if self.settings.max_request_units > 1:
             return units / max(self.mean_units, MIN_MEAN_UNITS)
-        return self.fleet.mean[pending.service_class.name] / max(self.fleet.service, SERVICE_LEAST)
+        return self.balancer.mean_latency[pending.service_class.name] / max(
+            self.balancer.mean_service_time, MIN_SERVICE_TIME
+        )
 
     def drop_idle_tenants(self, now: float) -> None:
         """Drops the quota state of tenants that have been idle for long; many tenants come only once.
@@ -177,8 +190,12 @@
         many gateways, each one has too few attempts out for a limit of its own to relieve the servers.
         """
         values = self.recent_values = [*self.recent_values[-63:], pending.value_per_work]
-        elapsed, fleet, self.admission_ratio_at = now - self.admission_ratio_at, self.fleet, now
-        if fleet.pressure * math.exp(min(0.0, (fleet.answer_at + 1 - now) / PRESS_SPAN)) > PRESSED:
+        elapsed, balancer, self.admission_ratio_at = now - self.admission_ratio_at, self.balancer, now
+        if (
+            balancer.congested_share
+            * math.exp(min(0.0, (balancer.last_answer_at + 1 - now) / CONGESTION_TIME_CONSTANT))
+            > SHEDDING_THRESHOLD
+        ):
             self.admission_ratio = max(
                 MIN_ADMISSION_RATIO,
                 self.admission_ratio * math.exp(-ADMISSION_DECREASE_RATE * min(elapsed, 1.0)),
@@ -186,7 +203,9 @@
         else:
             self.admission_ratio = min(1.0, self.admission_ratio + ADMISSION_INCREASE_RATE * elapsed)
         draw = self.rng.random()
-        shed_count = (1 - self.admission_ratio) * len(values) * (self.settings.gateways > LIMIT_MOST)
+        shed_count = (
+            (1 - self.admission_ratio) * len(values) * (self.settings.gateways > MAX_ATTEMPTS_PER_SERVER)
+        )
         return (
             shed_count > 0
             and draw * values.count(pending.value_per_work) + sum(v < pending.value_per_work for v in values)
@@ -196,32 +215,36 @@
     def handle_over_quota(
         self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0
     ) -> None:
-        """Refuses a request that is over quota, or admits it if that earns something and capacity is spare.
-
-        Args:
-            wait: seconds after which the client may retry.
+        """Handles a request that is over quota: admits it if that earns something and capacity is spare,
+        otherwise refuses it; the client may retry after `wait` seconds.
         """
-        has_spare_capacity = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST and not self.queue
-        if pending.plan.over_worth > pending.plan.over_cost and has_spare_capacity:
+        unloaded = (
+            self.balancer.mean_server_load() < SPARE_CAPACITY_SHARE * MAX_ATTEMPTS_PER_SERVER
+            and not self.queue
+        )
+        if pending.plan.over_quota_value > pending.plan.over_quota_cost and unloaded:
             pending.over_quota = True
             self.enqueue(now, pending)
         else:
             self.refuse(now, pending, reason, wait)
 
     def enqueue(self, now: float, pending: PendingRequest) -> None:
-        """Queues a request for a server, once it has its units and its open slot; sends it if possible."""
+        """Queues a request that has its units and its concurrency slot, and sends it if possible."""
         tenant, units = pending.tenant, pending.req.units
         if tenant.available_ceiling_units(now) < units:
-            self.refuse(now, pending, RefusalReason.CEILING)
+            self.refuse(now, pending, RefusalReason.CEILING_REACHED)
             return
         tenant.ceiling_units -= units  # spent before the request is sent
         self.insert_into_queue(pending)
-        limit = max(MIN_QUEUE_LIMIT, self.fleet.own_rate(now) * QUEUE_TIME_SHARE * pending.service_class.aim)
+        limit = max(
+            MIN_QUEUE_LIMIT,
+            self.balancer.send_rate(now) * QUEUE_TIME_SHARE * pending.service_class.latency_target,
+        )
         self.queue = (
             [each for each in self.queue if not each.finished] if len(self.queue) > limit else self.queue
         )
         # During the short backoff after a local error the queue grows without any overload.
-        if len(self.queue) > limit and now >= self.fleet.hindered_until:
+        if len(self.queue) > limit and now >= self.balancer.local_backoff_until:
             self.refuse(now, self.queue.pop(0), RefusalReason.QUEUE_FULL)
         self.drain_queue(now)
         if pending.stage == "queue" and not pending.finished:
@@ -235,23 +258,23 @@
     def max_queue_time(self, pending: PendingRequest) -> float:
         """Returns for how many seconds after its arrival a request may wait for a server.
 
-        An attempt that begins later would probably miss the aim of the class, and a refusal should come in
-        the first half of the time until the deadline. Requests without an attempt so far wait for
-        QUEUE_TIME_SHARE of the aim only, as there are many of them.
+        An attempt that begins later would probably miss the latency target of the class, and a refusal should
+        come in the first half of the time until the deadline. Requests without an attempt so far wait for
+        QUEUE_TIME_SHARE of the target only, as there are many of them.
         """
-        useful = max(0.0, pending.service_class.aim - self.fleet.mean[pending.service_class.name])
+        useful = max(
+            0.0, pending.service_class.latency_target - self.balancer.mean_latency[pending.service_class.name]
+        )
         share = 1.0 if pending.attempts_sent else QUEUE_TIME_SHARE
-        return min(useful, (pending.deadline - pending.arrived_at) / 2, pending.service_class.aim * share)
+        return min(
+            useful, (pending.deadline - pending.arrived_at) / 2, pending.service_class.latency_target * share
+        )
 
     def refuse(self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0) -> None:
-        """Gives a request up: refuses it where the client may retry safely, otherwise fails it.
-
-        Args:
-            wait: seconds after which the client may retry, bounded by the settings.
-        """
+        """Gives a request up: refuses it if a retry after `wait` seconds is safe, otherwise fails it."""
         unrepeatable = pending.service_class.effect != "safe" and (
             pending.service_class.effect,
-            pending.service_class.scope,
+            pending.service_class.dedup_scope,
         ) != ("keyed", "all")
         if not (unrepeatable and (pending.may_have_run or pending.live_attempts)):
             max_wait = self.settings.limits.max_retry_after if self.settings.limits.retry_after else 0.0
@@ -270,10 +293,10 @@
             if self.settings.limits.cancel
         ]
         if pending.held_slot > 0:
-            self.count_open_request(pending.tenant, pending.held_slot, -1)
+            self.count_concurrent_request(pending.tenant, pending.held_slot, -1)
         pending.tenant.own_slots_in_use -= pending.held_slot < 0
 
-    def is_eligible(self, pending: PendingRequest, server: Server, now: float) -> bool:
+    def is_eligible(self, pending: PendingRequest, server: ServerState, now: float) -> bool:
         """Returns whether a request may be sent to a server, given its attempts that may have run.
 
         A keyed request may be retried only within the scope and the time in which servers discard duplicates,
@@ -281,62 +304,60 @@
         """
         unproven = pending.may_have_run + list(pending.live_attempts.values())
         if (
-            server.host.id in pending.excluded_servers
+            server.info.id in pending.excluded_servers
             or not unproven
             or pending.service_class.effect == "safe"
         ):
-            return server.host.id not in pending.excluded_servers
+            return server.info.id not in pending.excluded_servers
         if pending.service_class.effect == "unsafe" or now >= self.retry_deadline(pending):
             return False
-        known, scope = [self.fleet.host(name) for name, _ in unproven], pending.service_class.scope
+        known = [self.balancer.server_info(name) for name, _ in unproven]
+        scope = pending.service_class.dedup_scope
         if None in known:
             return False
         if scope == "all":
             return True
-        group = (lambda host: host.zone) if scope == "zone" else (lambda host: host.cell)
-        return all(group(host) == group(server.host) for host in known)
+        group = (lambda info: info.zone) if scope == "zone" else (lambda info: info.cell)
+        return all(group(info) == group(server.info) for info in known)
 
     def retry_deadline(self, pending: PendingRequest) -> float:
         """Returns until when a further attempt may be written; infinite if no attempt may have run."""
         unproven = pending.may_have_run + list(pending.live_attempts.values())
         if pending.service_class.effect == "safe" or not unproven:
             return math.inf
-        return repeat_until(min(sent_at for _, sent_at in unproven), pending.service_class.memory)
+        return retry_deadline(min(sent_at for _, sent_at in unproven), pending.service_class.dedup_window)
 
     def admits_delayed_attempt(self, now: float, request_id: str, number: int, server_id: str) -> bool:
         """Returns whether an attempt at a server in slow start may be written to a delayed connection."""
-        pending, server = self.requests.get(request_id), self.fleet.servers.get(server_id)
+        pending, server = self.requests.get(request_id), self.balancer.servers.get(server_id)
         if pending is None or server is None:
             return False
-        return self.fleet.admits_late(server, (request_id, number), now, pending.slow_start_charge)
+        return self.balancer.admits_delayed_write(server, (request_id, number), now, pending.charge)
 
-    def choose_server(self, now: float, pending: PendingRequest) -> Server | None:
+    def choose_server(self, now: float, pending: PendingRequest) -> ServerState | None:
         """Returns the best eligible server for the next attempt, or None if no server can take it now."""
         if not pending.excluded_servers:
-            return self.fleet.pick(now, pending.failure_keys, None, pending.slow_start_charge)
+            return self.balancer.pick_server(now, pending.failure_keys, None, pending.charge)
         peers = self.cell_peers(pending)
         if peers is not None:
             eligible = [server for server in peers if self.is_eligible(pending, server, now)]
-            return self.fleet.best(now, pending.failure_keys, eligible, pending.slow_start_charge)
-        return self.fleet.pick(
-            now,
-            pending.failure_keys,
-            lambda server: self.is_eligible(pending, server, now),
-            pending.slow_start_charge,
+            return self.balancer.best_server(now, pending.failure_keys, eligible, pending.charge)
+        return self.balancer.pick_server(
+            now, pending.failure_keys, lambda server: self.is_eligible(pending, server, now), pending.charge
         )
 
-    def cell_peers(self, pending: PendingRequest) -> list[Server] | None:
+    def cell_peers(self, pending: PendingRequest) -> list[ServerState] | None:
         """Returns the servers of the cell to which earlier attempts bind a request.
 
         None if the request is not bound to a cell, or if all servers are in view anyway.
         """
         tried = [name for name, _ in [*pending.may_have_run, *pending.live_attempts.values()]]
-        bound = (pending.service_class.effect, pending.service_class.scope) == (
+        bound = (pending.service_class.effect, pending.service_class.dedup_scope) == (
             "keyed",
             "cell",
-        ) and self.fleet.members.limited
-        host = self.fleet.host(tried[0]) if bound and tried else None
-        return self.fleet.cell_mates(host.cell) if host is not None else None
+        ) and self.balancer.membership.has_partial_view
+        info = self.balancer.server_info(tried[0]) if bound and tried else None
+        return self.balancer.servers_in_cell(info.cell) if info is not None else None
 
     def send_attempt(self, now: float, pending: PendingRequest) -> bool:
         """Sends an attempt; returns False if the request may have no further one or no server is free."""
@@ -344,21 +365,23 @@
             return False
         server = (
             self.choose_server(now, pending)
-            if self.settings.limits.second_copies or not pending.live_attempts
+            if self.settings.limits.hedging or not pending.live_attempts
             else None
         )
         if server is None:
             return False
-        slow_start = server.admission is not None and server.warmth(now, self.settings.rules) < 1.0
+        in_slow_start = (
+            server.slow_start is not None and server.slow_start_weight(now, self.settings.rules) < 1.0
+        )
         self.actions.append(
-            api.Send(pending.req.id, server.host.id, 0, self.retry_deadline(pending), slow_start)
+            api.Send(pending.req.id, server.info.id, 0, self.retry_deadline(pending), in_slow_start)
         )
-        pending.live_attempts[pending.attempts_sent] = (server.host.id, now)
-        self.fleet.sent(server, (pending.req.id, pending.attempts_sent), now, pending.slow_start_charge)
+        pending.live_attempts[pending.attempts_sent] = (server.info.id, now)
+        self.balancer.record_send(server, (pending.req.id, pending.attempts_sent), now, pending.charge)
         pending.attempts_sent += 1
-        pending.excluded_servers.add(server.host.id)
+        pending.excluded_servers.add(server.info.id)
         pending.stage = "sent"
-        self.schedule_check(now + self.fleet.patience(pending.service_class.name), pending)
+        self.schedule_check(now + self.balancer.hedge_delay(pending.service_class.name), pending)
         return True
 
     def drain_queue(self, now: float) -> None:
@@ -366,59 +389,68 @@
         # Classes for which no server has capacity, each with whether the work exceeds a place at a server in
         # slow start. Only first attempts count here, since retries have fewer servers to go to.
         blocked: set[tuple[str, bool]] = set()
-        for pending in self.queue[::-1] if self.queue and self.fleet.room(now) else ():
+        for pending in self.queue[::-1] if self.queue and self.balancer.has_capacity(now) else ():
             first = not pending.attempts_sent
             if not pending.finished:
-                kind = (pending.service_class.name, pending.slow_start_charge > 1.0)
+                kind = (pending.service_class.name, pending.charge > 1.0)
                 if kind in blocked or not self.send_attempt(now, pending):
                     blocked.update([kind] * first)
                     continue
                 if first:
-                    has_spare_capacity = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST
-                    earned = RETRIES_PER_REQUEST_UNLOADED if has_spare_capacity else RETRIES_PER_REQUEST
+                    unloaded = (
+                        self.balancer.mean_server_load() < SPARE_CAPACITY_SHARE * MAX_ATTEMPTS_PER_SERVER
+                    )
+                    earned = RETRIES_PER_REQUEST_UNLOADED if unloaded else RETRIES_PER_REQUEST
                     self.retry_budget = min(
                         max(2.0, MAX_SAVED_RETRIES / self.settings.gateways), self.retry_budget + earned
                     )
             self.queue.remove(pending)
         if self.queue and self.next_trial_at <= now:  # no event may come when a server's cool-down ends
-            trials = [at for server in self.fleet.up for _, at in server.rests.values() if at > now]
-            trials += [self.fleet.hindered_until] * (self.fleet.hindered_until > now)
+            trials = [
+                at for server in self.balancer.up_servers for _, at in server.cooldowns.values() if at > now
+            ]
+            trials += [self.balancer.local_backoff_until] * (self.balancer.local_backoff_until > now)
             self.next_trial_at = min(trials, default=0.0)
 
     def on_outcome(self, now: float, event: api.Outcome) -> None:
         """Handles the end of an attempt: the request is finished, retried, queued again or given up."""
         pending = self.requests.get(event.id)
-        service_class, failure_keys = (
-            (pending.service_class, pending.failure_keys) if pending else (None, ("host",))
+        service_class, keys = (
+            (pending.service_class, pending.failure_keys) if pending else (None, ("server",))
         )
-        self.fleet.answered(now, event, service_class, failure_keys)
+        self.balancer.record_outcome(now, event, service_class, keys)
         if pending is None:
             return
         attempt = pending.live_attempts.pop(event.attempt, None)
-        if event.actual and self.settings.settles and pending.plan.rate and not pending.over_quota:
-            pending.tenant.uncharged += event.actual - pending.req.units
+        if (
+            event.actual_units
+            and self.settings.settles_actual_units
+            and pending.plan.rate
+            and not pending.over_quota
+        ):
+            pending.tenant.uncharged += event.actual_units - pending.req.units
         if event.final:
             self.finish(now, pending)
             return
         if event.result in ("error", "timeout", "reset", "cancelled") and attempt is not None:
             pending.may_have_run.append(attempt)
-        if event.result in api.NEVER_BEGAN:
+        if event.result in api.NOT_STARTED_RESULTS:
             pending.attempts_not_begun += 1
-            pending.excluded_servers.discard(event.host)
+            pending.excluded_servers.discard(event.server)
         if event.result == "unsent":
-            self.fleet.hindered(now)
+            self.balancer.record_local_error(now)
         if pending.live_attempts:
             return
-        free = event.result == "connect_failed" or event.result in api.NEVER_BEGAN
+        free = event.result == "connect_failed" or event.result in api.NOT_STARTED_RESULTS
         cost = 0.0 if free else FULL_RETRY_COST if event.result == "full" else 1.0
         too_late = (
-            now + max(TICK, self.fleet.mean[pending.service_class.name]) > pending.deadline
+            now + max(TICK, self.balancer.mean_latency[pending.service_class.name]) > pending.deadline
             or event.result == "moot"
         )
         if too_late:
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
         elif self.retry_budget < cost:
-            self.refuse(now, pending, RefusalReason.RETRIES_SPENT)
+            self.refuse(now, pending, RefusalReason.RETRY_BUDGET_SPENT)
         elif self.send_attempt(now, pending):
             self.retry_budget -= cost
         elif (free or event.result in ("full", "reset")) and self.may_wait_for_server(now, pending):
@@ -435,7 +467,7 @@
         allowed = not pending.streaming and pending.attempts_begun < self.settings.limits.max_attempts
         allowed = allowed and now < pending.arrived_at + self.max_queue_time(pending)
         peers = self.cell_peers(pending) if allowed else None
-        servers = self.fleet.up if peers is None else peers
+        servers = self.balancer.up_servers if peers is None else peers
         return allowed and any(self.is_eligible(pending, server, now) for server in servers)
 
     def schedule_check(self, at: float, pending: PendingRequest) -> None:
@@ -448,7 +480,7 @@
             self.timer_at = math.inf
         if now >= self.watch_at:
             self.watch_at = math.inf
-            self.actions.append(api.Watch(True))
+            self.actions.append(api.WatchServerList(True))
         while self.scheduled_checks and self.scheduled_checks[0][0] <= now + 1e-6:
             request_id = heapq.heappop(self.scheduled_checks)[1]
             if request_id in self.requests:
@@ -461,7 +493,7 @@
             pending.stage, math.inf
         )
         if pending.stage != "sent" and (near_deadline or now - pending.arrived_at >= max_wait - 1e-6):
-            self.refuse(now, pending, RefusalReason.WAITED)
+            self.refuse(now, pending, RefusalReason.QUEUE_TIMEOUT)
         elif pending.stage == "sent" and not near_deadline and not pending.streaming:
             self.handle_late_attempts(now, pending)
 
@@ -470,15 +502,17 @@
 
         Trade-off: where an answer was only slow, work is done twice, so a hedged attempt costs a retry.
         """
-        timeout = self.fleet.patience(pending.service_class.name) - TICK
+        timeout = self.balancer.hedge_delay(pending.service_class.name) - TICK
         late = [number for number, (_, sent_at) in pending.live_attempts.items() if now - sent_at >= timeout]
         for number in set(late) - pending.late_attempts:
             # A late attempt does not occupy a place at its server or among this gateway's attempts.
-            live_at_server = self.fleet.servers[pending.live_attempts[number][0]].out
-            self.fleet.out -= live_at_server.pop((pending.req.id, number), None) is not None
-            self.fleet.detector.note(pending.live_attempts[number][0], pending.failure_keys, True, now)
+            live_at_server = self.balancer.servers[pending.live_attempts[number][0]].in_flight
+            self.balancer.attempts_in_flight -= live_at_server.pop((pending.req.id, number), None) is not None
+            self.balancer.detector.record(pending.live_attempts[number][0], pending.failure_keys, True, now)
         pending.late_attempts.update(late)
-        self.schedule_check(now + max(2 * TICK, self.fleet.dev[pending.service_class.name]), pending)
+        self.schedule_check(
+            now + max(2 * TICK, self.balancer.latency_deviation[pending.service_class.name]), pending
+        )
         if (
             not late
             or len(pending.live_attempts) > 1
@@ -486,7 +520,7 @@
             or self.retry_budget < 1.0
         ):
             return
-        if self.settings.limits.second_copies:
+        if self.settings.limits.hedging:
             self.retry_budget -= self.send_attempt(now, pending)
         elif (
             self.settings.limits.cancel
--- a/calicomast/quota.py
+++ b/calicomast/quota.py
@@ -53,13 +53,13 @@
     """A call to the counter whose result has not arrived yet.
 
     Attributes:
-        kind: "units" leases units, "slot" takes an open slot, "correction" adjusts a count.
-        window: index of the tenant's quota window; for the count of open requests, its epoch.
+        kind: "units" leases units, "slot" takes an concurrency slot, "correction" adjusts a count.
+        window: index of the tenant's quota window; for the count of concurrent requests, its epoch.
         charge: units that were admitted before without a charge.
         lease: units that are asked for.
         extra: units for requests that were admitted without a call, or the amount of a correction.
         unclaimed: units that earlier calls added and that this call uses.
-        pending: the request that waits for an open slot, if there is one.
+        pending: the request that waits for an concurrency slot, if there is one.
     """
 
     tenant: TenantQuota
@@ -92,10 +92,12 @@
             now: the current time.
             rng: the random generator of the policy.
         """
-        self.name = req.customer
+        self.name = req.tenant
         self.plan = plan
         self.spread = req.spread
-        self.own_slots_in_use = 0  # open requests within this gateway's even share of the open limit
+        self.own_slots_in_use = (
+            0  # concurrent requests within this gateway's even share of the concurrency limit
+        )
         self.low_rate = 0 < plan.burst < self.spread  # the even share of the burst is less than a unit
         self.refill_time = plan.burst / plan.rate if plan.rate else 1.0  # seconds to refill an empty burst
         self.window_length = self.refill_time * (LOW_RATE_WINDOW if self.low_rate else 1.0)  # seconds
@@ -306,4 +308,6 @@
 
     def expected_loss(self, plan: api.Plan) -> float:
         """Returns the expected cost of admitting a request without a call, as a part of its value."""
-        return (1 - self.granted_share) * max(MIN_OVER_QUOTA_COST, plan.over_cost - plan.over_worth)
+        return (1 - self.granted_share) * max(
+            MIN_OVER_QUOTA_COST, plan.over_quota_cost - plan.over_quota_value
+        )
--- a/emulator/scenarios/subsets.py
+++ b/emulator/scenarios/subsets.py
@@ -15,7 +15,7 @@
 
 def subset(gateway: GatewayPolicy) -> set[str]:
     """The ids of the servers that a gateway keeps to."""
-    return {server.host.id for server in gateway.fleet.subset}
+    return {server.info.id for server in gateway.balancer.subset}
 
 
 def measure(deployment: Deployment, seed: int) -> Row:
@@ -28,11 +28,11 @@
     sizes, moved, kept_names = [], 0, 0
     for index in range(deployment.gateways):
         gateway = GatewayPolicy(deployment.settings(index), seed, 1000.0)
-        gateway.handle(1000.0, api.HostList("cached", 1, hosts))
+        gateway.handle(1000.0, api.ServerListUpdate("cached", 1, hosts))
         before = subset(gateway)
         covered.update(before)
         sizes.append(len(before))
-        gateway.handle(1000.0, api.HostList("delta", 2, gone + new))
+        gateway.handle(1000.0, api.ServerListUpdate("delta", 2, gone + new))
         lost = before - subset(gateway)
         moved += len(lost - {host.id for host in gone})
         kept_names += len(before)
