--- a/calicomast/rules.py
+++ b/calicomast/rules.py
@@ -1,8 +1,9 @@
-"""What may begin: one question for each kind of act, asked in the same step as the act itself.
+"""Rules that decide whether an action may start: a write, an accept, a close or an update of the server list.
 
-Part of the decisions: policy.py. What holds when something is decided may have changed when it is done: after
-a connection came up, after a queue, after a hold-up of the process. So whoever writes, closes, takes on or
-puts in force asks here with what holds at that moment, whichever way the code got there.
+Part of the policy: policy.py. The facts behind an earlier decision can change before the action runs, for
+example while a connection is established, while a request is queued or while the process is suspended. So
+the code that writes an attempt, closes a connection, accepts a request or applies a server list evaluates the
+rule in the same step as the action, with the facts of that moment, on every code path.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_PROCESS_PAUSE = 0.15  # s for which a process may be held up between reading its clock and writing
-MILLISECONDS = 1000  # in a second
+MAX_PROCESS_PAUSE = 0.15  # seconds that the process may be suspended between reading its clock and writing
+MILLISECONDS = 1000  # per second
 
 
 class Verdict(Enum):
-    """`ALLOWED`, or why not."""
+    """Result of a rule: `ALLOWED`, or the reason why the action may not start."""
 
     ALLOWED = "allowed"
     REQUEST_FINISHED = "request finished"
@@ -36,7 +37,7 @@
 
 
 class RefusalReason(Enum):
-    """Why a request was given up."""
+    """Reason why the policy refused or failed a request."""
 
     DEADLINE_NEAR = "too little time left"
     LOAD_SHED = "load shed"
@@ -52,13 +53,20 @@
 
 @dataclass(slots=True)
 class AttemptFacts:
-    """What holds as an attempt is to be written; times are spans in seconds from that moment on.
+    """State of a request and its server at the moment an attempt is about to be written.
 
     Attributes:
-        remaining_time: until its client gives up.
-        retry_window_left: until the window for repeats closes; infinite where none is open.
-        attempts_written: attempts of the request that were written before.
-        other_attempts: other attempts of the request that are out or wait for a connection.
+        finished: whether the request already has its final answer.
+        client_gone: whether the client has closed its connection.
+        remaining_time: seconds until the client gives up.
+        retry_window_left: seconds until the server may no longer discard a retry as a duplicate; infinite
+            while no earlier attempt has opened such a window.
+        attempts_written: attempts of the request that were written before this one.
+        max_attempts: limit of written attempts for one request.
+        other_attempts: other attempts of the request that are in flight or wait for a connection.
+        hedging_allowed: whether several attempts of the request may be in flight at once.
+        server_listed: whether the server list has the server as up.
+        within_slow_start_budget: whether the slow-start admission of the server still allows the attempt.
     """
 
     finished: bool
@@ -74,7 +82,7 @@
 
 
 def may_write_attempt(facts: AttemptFacts) -> Verdict:
-    """Whether an attempt may be written now: a first one, a repeat or a second copy."""
+    """Decides whether an attempt may be written now, whether it is the first one, a retry or a hedged one."""
     if facts.finished:
         return Verdict.REQUEST_FINISHED
     if facts.client_gone:
@@ -102,7 +110,15 @@
     body_bytes: int,
     max_body_bytes: int,
 ) -> Verdict:
-    """Whether a request may be taken on. `active_requests`: requests; `body_bytes`: bytes of bodies."""
+    """Decides whether a new request may be accepted.
+
+    Args:
+        shutting_down: whether the gateway no longer accepts requests.
+        active_requests: number of requests without a final answer.
+        max_active_requests: limit of `active_requests`.
+        body_bytes: total size of the bodies of the active requests.
+        max_body_bytes: limit of `body_bytes`.
+    """
     if shutting_down:
         return Verdict.SHUTTING_DOWN
     if active_requests >= max_active_requests or body_bytes > max_body_bytes:
@@ -113,9 +129,14 @@
 def may_close_connection(
     *, response_pending: bool, partial_command: bool, unread_input: bool, framing_lost: bool
 ) -> Verdict:
-    """Whether a client's connection may be closed. `response_pending`: an answer is owed; `partial_command`:
-    half a command was read; `unread_input`: bytes that may be a request lie in the socket; `framing_lost`:
-    what comes cannot be read any more."""
+    """Decides whether the connection of a client may be closed.
+
+    Args:
+        response_pending: whether a request of this connection is still without its response.
+        partial_command: whether the beginning of a command was read.
+        unread_input: whether the socket buffer holds bytes that may be a request.
+        framing_lost: whether further input of this connection can no longer be parsed.
+    """
     if response_pending:
         return Verdict.RESPONSE_PENDING
     if not framing_lost and (partial_command or unread_input):
@@ -126,8 +147,17 @@
 def may_apply_server_list(
     *, source_current: bool, is_complete: bool, is_empty: bool, has_servers: bool
 ) -> Verdict:
-    """Whether a list of servers may be put in force. A whole one without any server, while some are held, is
-    a fault of who told it, and would leave nothing to send to."""
+    """Decides whether a server list may be applied.
+
+    A complete list without servers is rejected while servers are known: it is an error of its source, and
+    applying it would leave the gateway without any server.
+
+    Args:
+        source_current: whether the list comes from the discovery service configured now.
+        is_complete: whether the list replaces all known servers, rather than changing some.
+        is_empty: whether the list names no server.
+        has_servers: whether any server is known now.
+    """
     if not source_current:
         return Verdict.SOURCE_REPLACED
     if is_complete and is_empty and has_servers:
@@ -135,12 +165,19 @@
     return Verdict.ALLOWED
 
 
-def retry_deadline(first_sent: float, memory: float) -> float:
-    """Until when a repeat may be written: `memory` seconds from the first attempt that may have run, less the
-    time for which the process may be held up."""
-    return first_sent + memory - MAX_PROCESS_PAUSE
+def retry_deadline(first_sent: float, dedup_window: float) -> float:
+    """Returns the clock time until which a retry may be written.
+
+    Servers discard duplicates for `dedup_window` seconds from the first attempt that may have been executed.
+    The retry window ends `MAX_PROCESS_PAUSE` seconds earlier, because the process may be suspended that long
+    between this check and the write.
+    """
+    return first_sent + dedup_window - MAX_PROCESS_PAUSE
 
 
-def remaining_time_ms(left: float) -> int:
-    """The milliseconds that a server is told that its answer is waited for, `left` seconds being left."""
-    return max(1, math.floor(left * MILLISECONDS))
+def remaining_time_ms(remaining_time: float) -> int:
+    """Returns the remaining time to propagate to a server, in whole milliseconds and at least 1.
+
+    `remaining_time` is in seconds.
+    """
+    return max(1, math.floor(remaining_time * MILLISECONDS))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The place that decides what may begin."""
+"""Rules that decide whether an action may start."""
 
 import dataclasses
 import math
@@ -8,7 +8,7 @@
 from calicomast import rules
 from calicomast.rules import AttemptFacts, Verdict, may_write_attempt
 
-SOUND = AttemptFacts(
+ALLOWED_ATTEMPT = AttemptFacts(
     finished=False,
     client_gone=False,
     remaining_time=1.0,
@@ -20,7 +20,7 @@
     server_listed=True,
     within_slow_start_budget=True,
 )
-REFUSALS = {
+FACTS_BY_VERDICT = {
     Verdict.REQUEST_FINISHED: {"finished": True},
     Verdict.CLIENT_GONE: {"client_gone": True},
     Verdict.DEADLINE_PASSED: {"remaining_time": 0.0},
@@ -32,62 +32,70 @@
 }
 
 
-def test_a_sound_attempt_may_be_written():
-    assert may_write_attempt(SOUND) is Verdict.ALLOWED
+def test_attempt_is_allowed_when_no_rule_forbids_it():
+    assert may_write_attempt(ALLOWED_ATTEMPT) is Verdict.ALLOWED
     assert (
-        may_write_attempt(dataclasses.replace(SOUND, other_attempts=1, hedging_allowed=True))
+        may_write_attempt(dataclasses.replace(ALLOWED_ATTEMPT, other_attempts=1, hedging_allowed=True))
         is Verdict.ALLOWED
     )
 
 
-@pytest.mark.parametrize("verdict", REFUSALS, ids=lambda verdict: verdict.name)
-def test_each_refusal_has_its_reason(verdict):
-    assert may_write_attempt(dataclasses.replace(SOUND, **REFUSALS[verdict])) is verdict
+@pytest.mark.parametrize("verdict", FACTS_BY_VERDICT, ids=lambda verdict: verdict.name)
+def test_each_violated_rule_returns_its_verdict(verdict):
+    assert may_write_attempt(dataclasses.replace(ALLOWED_ATTEMPT, **FACTS_BY_VERDICT[verdict])) is verdict
 
 
-def test_a_finished_request_is_no_matter_of_its_client():
-    facts = dataclasses.replace(SOUND, finished=True, client_gone=True, remaining_time=-1.0)
+def test_finished_request_takes_precedence_over_other_verdicts():
+    facts = dataclasses.replace(ALLOWED_ATTEMPT, finished=True, client_gone=True, remaining_time=-1.0)
     assert may_write_attempt(facts) is Verdict.REQUEST_FINISHED
 
 
-def test_requests_are_taken_until_the_end_and_the_bounds():
-    def take(ending=False, in_work=0, held=0):
+def test_requests_are_accepted_until_shutdown_or_a_limit():
+    def accept(shutting_down=False, active_requests=0, body_bytes=0):
         return rules.may_accept_request(
-            shutting_down=ending,
-            active_requests=in_work,
+            shutting_down=shutting_down,
+            active_requests=active_requests,
             max_active_requests=2,
-            body_bytes=held,
+            body_bytes=body_bytes,
             max_body_bytes=100,
         )
 
-    assert take() is take(in_work=1, held=100) is Verdict.ALLOWED
-    assert take(ending=True) is Verdict.SHUTTING_DOWN
-    assert take(in_work=2) is take(held=101) is Verdict.CAPACITY_EXCEEDED
+    assert accept() is accept(active_requests=1, body_bytes=100) is Verdict.ALLOWED
+    assert accept(shutting_down=True) is Verdict.SHUTTING_DOWN
+    assert accept(active_requests=2) is accept(body_bytes=101) is Verdict.CAPACITY_EXCEEDED
 
 
-def test_a_connection_closes_once_nothing_on_it_is_owed():
-    def close(owed=False, half=False, unread=False, broken=False):
+def test_connection_may_close_without_pending_response_or_unread_input():
+    def close(response_pending=False, partial=False, unread=False, framing_lost=False):
         return rules.may_close_connection(
-            response_pending=owed, partial_command=half, unread_input=unread, framing_lost=broken
+            response_pending=response_pending,
+            partial_command=partial,
+            unread_input=unread,
+            framing_lost=framing_lost,
         )
 
-    assert close() is close(half=True, unread=True, broken=True) is Verdict.ALLOWED
-    assert close(owed=True, broken=True) is Verdict.RESPONSE_PENDING
-    assert close(half=True) is close(unread=True) is Verdict.UNREAD_INPUT
+    assert close() is close(partial=True, unread=True, framing_lost=True) is Verdict.ALLOWED
+    assert close(response_pending=True, framing_lost=True) is Verdict.RESPONSE_PENDING
+    assert close(partial=True) is close(unread=True) is Verdict.UNREAD_INPUT
 
 
-def test_a_list_is_put_in_force_if_its_source_counts_and_it_leaves_something():
-    def apply(current=True, whole=False, empty=False, held=True):
+def test_server_list_is_applied_if_source_is_current_and_servers_remain():
+    def apply(current=True, complete=False, empty=False, has_servers=True):
         return rules.may_apply_server_list(
-            source_current=current, is_complete=whole, is_empty=empty, has_servers=held
+            source_current=current, is_complete=complete, is_empty=empty, has_servers=has_servers
         )
 
-    assert apply() is apply(empty=True) is apply(whole=True) is apply(whole=True, empty=True, held=False)
+    assert (
+        apply()
+        is apply(empty=True)
+        is apply(complete=True)
+        is apply(complete=True, empty=True, has_servers=False)
+    )
     assert apply() is Verdict.ALLOWED
-    assert apply(whole=True, empty=True) is Verdict.EMPTY_SERVER_LIST
+    assert apply(complete=True, empty=True) is Verdict.EMPTY_SERVER_LIST
     assert apply(current=False) is Verdict.SOURCE_REPLACED
 
 
-def test_a_window_ends_a_hold_up_early_and_time_is_told_in_whole_milliseconds():
+def test_retry_window_ends_early_and_remaining_time_is_in_whole_milliseconds():
     assert rules.retry_deadline(100.0, 2.0) == pytest.approx(102.0 - rules.MAX_PROCESS_PAUSE)
     assert rules.remaining_time_ms(1.2349) == 1234 and rules.remaining_time_ms(0.0) == 1
