--- a/calicomast/servers.py
+++ b/calicomast/servers.py
@@ -141,7 +141,7 @@
         if host.state != "up" or not host.started or age >= self.set.rules.cold_time:
             return False
         admission = SlowStartAdmission(host, self.set.index, self.set.gateways, self.set.rules)
-        return admission.place < admission.budget(
+        return admission.position < admission.budget(
             1.0, SERVERS_OF_HOST / max(self.mean_service_time, MIN_SERVICE_TIME)
         )
 
--- a/calicomast/slow_start.py
+++ b/calicomast/slow_start.py
@@ -1,10 +1,13 @@
-"""Admission to cold servers: what one gateway may send to a server that has just started.
+"""Slow start: limits what each gateway sends to a server that has just started.
 
-Part of the decisions: policy.py. A cold server falls over when all gateways together send more than it bears,
-and they cannot talk to each other. So the right to send is placed, not saved up: for each start of a server
-the gateways stand in an order that every one of them works out alone, and only the first of them send, each
-once in the time that the rule takes its budget over. Nothing is kept that a restart could lose or double.
-Harm: a gateway without a place leaves a server idle that could do its work; that falls as the server warms.
+Part of the policy: policy.py. A server in slow start is overloaded when all gateways together send more than
+it can serve, and gateways cannot communicate with each other. So the right to send is assigned rather than
+accumulated: for each start of a server, every gateway computes the same permutation of all gateways, and only
+the gateways in its first positions may send, each once per budget window. No state is kept that a restart
+of a gateway could lose or duplicate.
+
+Trade-off: a server may stay idle although a gateway without a slot could use it. This fades as the server
+warms up and the budget grows.
 """
 
 from __future__ import annotations
@@ -14,13 +17,18 @@
 from calicomast import interface as api
 from calicomast.quota import stable_hash
 
-COLD_PART = 0.9  # of what a cold server bears by the rules; the rest is for gateways that have just restarted
-MILLISECONDS = 1000.0  # in a second; starts are told in whole ones
+# Fraction of the load that a server in slow start can take according to the rules. The rest is reserved for
+# gateways that have just restarted and have no record of what they sent.
+BUDGET_FRACTION = 0.9
+MILLISECONDS = 1000.0  # per second; discovery reports start times in whole milliseconds
 
 
 def gateway_position(server: str, started: float, index: int, gateways: int) -> int:
-    """The place, from 0, of gateway `index` among all for one start of one server (clock time in seconds):
-    an affine permutation of the indexes, another one for each start."""
+    """Returns the position, from 0, of gateway `index` among all gateways for one start of a server.
+
+    The order is an affine permutation of the gateway indexes that differs for each start. `started` is the
+    clock time of the start in seconds.
+    """
     seed = stable_hash("cold", server, round(started * MILLISECONDS))
     step, shift = seed % gateways, seed // gateways % gateways
     while math.gcd(step, gateways) != 1:
@@ -28,51 +36,64 @@
     return (step * index + shift) % gateways
 
 
-def slow_start_charge(work: float, luck: float) -> float:
-    """What a request counts as against the budget: its work in requests of mean work.
+def slow_start_charge(work: float, random_draw: float) -> float:
+    """Returns the amount that a request takes from the budget: its work, in requests of mean work.
 
-    Most places hold one request, so one of more work would never fit. With the chance 1 / work ** 2 (`luck`
-    is drawn from 0..1) it counts as one: neither the mean nor the variance of the work that all places send
-    in a moment is then above that of mean requests."""
-    return 1.0 if work > 1.0 and luck * work * work < 1.0 else work
+    Most gateways may send one request per window, so a request of more than mean work would never fit. It is
+    charged as one with probability 1 / work ** 2 (`random_draw` is uniform in 0..1). That keeps the mean and
+    the variance of the work that all gateways send at once at or below those of mean requests.
+    """
+    return 1.0 if work > 1.0 and random_draw * work * work < 1.0 else work
 
 
 class SlowStartAdmission:
-    """One gateway's admission to one start of one server."""
+    """Admission of one gateway's attempts to one server after one start of it.
+
+    Attributes:
+        position: position of this gateway in the order of all gateways for this start.
+        gateways: number of gateways.
+        rules: settings with the window (`fall_time`, seconds) and the load that overloads a server.
+        sent: send time and charge of each attempt within the window, by request id and attempt number.
+    """
 
-    __slots__ = ("place", "gateways", "rules", "sent")
+    __slots__ = ("position", "gateways", "rules", "sent")
 
     def __init__(self, host: api.Host, index: int, gateways: int, rules: api.Rules) -> None:
-        self.place = gateway_position(host.id, host.started, index, gateways)
+        self.position = gateway_position(host.id, host.started, index, gateways)
         self.gateways, self.rules = gateways, rules
-        # Times and charges of what was sent within the time of the rule, by request and attempt.
         self.sent: dict[tuple[str, int], tuple[float, float]] = {}
 
-    def budget(self, warmth: float, capacity: float) -> float:
-        """Requests of mean work that all gateways together may send in the time of the rule."""
-        return max(1.0, COLD_PART * self.rules.fall_multiple * warmth * capacity * self.rules.fall_time)
+    def budget(self, weight: float, capacity: float) -> float:
+        """Returns the requests of mean work that all gateways together may send per window, at least 1.
+
+        `weight` is the slow-start weight of the server, `capacity` the requests of mean work per second that
+        it serves after slow start.
+        """
+        return max(1.0, BUDGET_FRACTION * self.rules.fall_multiple * weight * capacity * self.rules.fall_time)
+
+    def remaining(self, now: float, weight: float, capacity: float) -> float:
+        """Returns the charge that this gateway may still send now.
 
-    def remaining(self, now: float, warmth: float, capacity: float) -> float:
-        """The charge that may still be sent from here now. `warmth`: the part of its capacity that the server
-        had when the time of the rule began; `capacity`: requests of mean work a second that it serves when
-        warm."""
-        budget = self.budget(warmth, capacity)
-        share = int(budget / self.gateways) + (self.place < budget % self.gateways)
+        `weight` is the slow-start weight that the server had at the start of the window that ends now,
+        `capacity` the requests of mean work per second that it serves after slow start.
+        """
+        budget = self.budget(weight, capacity)
+        share = int(budget / self.gateways) + (self.position < budget % self.gateways)
         if self.sent:
-            since = now - self.rules.fall_time
-            self.sent = {key: noted for key, noted in self.sent.items() if noted[0] > since}
+            window_start = now - self.rules.fall_time
+            self.sent = {key: entry for key, entry in self.sent.items() if entry[0] > window_start}
         return share - sum(charge for _, charge in self.sent.values())
 
     def record_send(self, now: float, charge: float, key: tuple[str, int]) -> None:
-        """An attempt of this charge is sent."""
+        """Records that the attempt `key` (request id, attempt number) was sent with this charge."""
         self.sent[key] = now, charge
 
     def readmit(
-        self, now: float, charge: float, key: tuple[str, int], warmth: float, capacity: float
+        self, now: float, charge: float, key: tuple[str, int], weight: float, capacity: float
     ) -> bool:
-        """An attempt that was sent before would be written only now; whether it still has its place."""
+        """Moves an attempt, sent earlier but written only now, to the current window, if it still fits."""
         self.sent.pop(key, None)
-        if self.remaining(now, warmth, capacity) < charge:
+        if self.remaining(now, weight, capacity) < charge:
             return False
         self.record_send(now, charge, key)
         return True
