--- a/calicomast/servers.py
+++ b/calicomast/servers.py
@@ -259,7 +259,7 @@
 
     def weight(self, s: ServerState, keys: tuple[str, ...], now: float) -> float:
         size = s.info.weight / self.top * self.cold_weight(s, now)
-        return size * self.detector.sound(s.info.id, keys, now)
+        return size * self.detector.health_weight(s.info.id, keys, now)
 
     def cold_weight(self, s: ServerState, now: float) -> float:
         """A cold server's part of a warm one's requests. Where fewer gateways have a place there than keep to
@@ -277,7 +277,7 @@
         load = len(s.in_flight) + fresh * s.others + (1 - fresh) * self.mean_server_load()
         size = max(s.info.weight, 1e-9)  # what a cold one may get is up to its admission
         cross = self.set.prices.get("cross_zone", 0.0) * CROSS_WEIGHT if s.info.zone != self.set.zone else 0.0
-        sound = max(0.01, self.detector.sound(s.info.id, keys, now))
+        sound = max(0.01, self.detector.health_weight(s.info.id, keys, now))
         return max(0.3, s.ratio) * (1 + load / SERVERS_OF_HOST) / size / sound + cross
 
     def pick_server(
