--- a/calicomast/servers.py
+++ b/calicomast/servers.py
@@ -113,7 +113,7 @@
 
     def apply_server_list(self, now: float, event: api.HostList) -> None:
         if event.mode not in ("delta", "failed"):
-            for host in self.membership.missing({h.id for h in event.hosts}):
+            for host in self.membership.missing_from({h.id for h in event.hosts}):
                 self.apply_server(now, dataclasses.replace(host, state="down"))
         for host in event.hosts:
             self.apply_server(now, host)
@@ -121,7 +121,7 @@
 
     def apply_server(self, now: float, host: api.Host) -> None:
         """Takes over what was said of one server; there is state only for those worked with."""
-        self.membership.tell(host)
+        self.membership.apply(host)
         old = self.servers.get(host.id)
         if old is None and not (host.id in self.membership or self.has_place(host, now)):
             return
@@ -160,13 +160,13 @@
         if not self.stale:
             return
         self.stale = False
-        if self.membership.trimmed:
+        if self.membership.was_trimmed:
             self.follow_view()
         servers, rules = self.servers, self.set.rules
         self._up = [s for s in servers.values() if s.up]
         self.top = max((s.info.weight for s in self._up), default=1.0) or 1.0
         many = self.membership.subset_size
-        if many >= self.membership.up:
+        if many >= self.membership.up_count:
             self._subset, self._cold = self._up, []
             return
         self._subset = [servers[name] for _, name in self.membership.view[:many]]
@@ -181,26 +181,28 @@
         but those with something out, or cold and with a place, are worked with."""
         view = {name for _, name in self.membership.view}
         for name in list(self.servers):
-            s, listed = self.servers[name], name in self.membership.hosts
+            s, listed = self.servers[name], name in self.membership.servers
             cold = s.up and s.slow_start is not None and s.slow_start_weight(self.now, self.set.rules) < 1.0
             if listed and name not in view and not s.in_flight and not cold:
                 del self.servers[name]
                 self.detector.forget(name)
         for _, name in self.membership.view:
             if name not in self.servers:
-                self.servers[name] = self.new_server(self.membership.hosts[name], {})
+                self.servers[name] = self.new_server(self.membership.servers[name], {})
 
     def server_info(self, name: str) -> api.Host | None:
         """What is known of a server; None for one that is gone for long."""
         server = self.servers.get(name)
-        return server.info if server is not None else self.membership.hosts.get(name)
+        return server.info if server is not None else self.membership.servers.get(name)
 
     def servers_in_cell(self, cell: int) -> list[ServerState]:
         """The servers of a cell, in view or not."""
-        names = [name for name in self.membership.in_cell(cell) if self.membership.hosts[name].state == "up"]
+        names = [
+            name for name in self.membership.ids_in_cell(cell) if self.membership.servers[name].state == "up"
+        ]
         for name in names:
             if name not in self.servers:
-                self.servers[name] = self.new_server(self.membership.hosts[name], {})
+                self.servers[name] = self.new_server(self.membership.servers[name], {})
         return [self.servers[name] for name in names]
 
     def forget(self, now: float) -> None:
@@ -215,7 +217,7 @@
         return (
             self.held
             if self.has_load_reports
-            else self.attempts_in_flight * self.set.gateways / max(1, self.membership.up)
+            else self.attempts_in_flight * self.set.gateways / max(1, self.membership.up_count)
         )
 
     def send_rate(self, now: float) -> float:
@@ -229,7 +231,7 @@
         self, s: ServerState, now: float, keys: tuple[str, ...] = ("server",), charge: float = LEAST_CHARGE
     ) -> bool:
         # Many gateways with one out at each server overdrive all, so what one has out in all is limited too.
-        most = max(2.0, OUT_SLACK * MAX_ATTEMPTS_PER_SERVER * self.membership.up / self.set.gateways)
+        most = max(2.0, OUT_SLACK * MAX_ATTEMPTS_PER_SERVER * self.membership.up_count / self.set.gateways)
         if (
             not s.up
             or len(s.in_flight) >= int(self.server_attempt_limit + s.rounding)
@@ -268,7 +270,7 @@
         if s.slow_start is None or warmth == 1.0:
             return warmth
         gateways = self.set.gateways
-        keep_to_one = gateways * len(self.subset) / max(1, self.membership.up)
+        keep_to_one = gateways * len(self.subset) / max(1, self.membership.up_count)
         places = min(gateways, s.slow_start.budget(warmth, self.capacity(s)))
         return min(1.0, warmth * max(1.0, keep_to_one / places))
 
@@ -287,7 +289,7 @@
         of these is able. A gateway of many that spreads its few requests over all servers opens a connection
         to each, and learns of none. Harm: servers that more gateways than others keep to are busier, until
         they are passed over."""
-        if len(self.subset) < self.membership.up:
+        if len(self.subset) < self.membership.up_count:
             subset = self.subset + self.admitted(now, keys, charge)
             found = self.best_server(
                 now, keys, subset if fits is None else list(filter(fits, subset)), charge
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Long lists of servers: what a gateway holds of them, which it keeps to, and what a change costs."""
+"""Membership of long server lists: the view, the subset, the state per server and the cost of a change."""
 
 import random
 from collections import Counter
@@ -7,217 +7,234 @@
 from helpers import CELL, World, host, of, plan, settings
 
 from calicomast import interface as api
-from calicomast.membership import SCANNED, VIEW_LEAST, Membership
+from calicomast.membership import MIN_VIEW_SIZE, REBUILD_BATCH_SIZE, Membership
 from emulator.deployment import Deployment
 from emulator.measure import executed_lines
 
-BIG = plan(rate=1000.0, burst=4000.0)
+LARGE_QUOTA = plan(rate=1000.0, burst=4000.0)
 
 
-def listed(count, first=0):
+def server_list(count, first=0):
+    """Returns `count` servers that are up, four per cell, numbered from `first`."""
     return [host(f"h{n}", cell=n // 4) for n in range(first, first + count)]
 
 
-def membership(index, gateways, servers, cells=False):
-    members = Membership(index, gateways, cells)
+def build_membership(index, gateways, servers, track_cells=False):
+    """Returns the membership of one gateway after all servers were listed."""
+    members = Membership(index, gateways, track_cells)
     for server in servers:
-        members.tell(server)
+        members.apply(server)
     return members
 
 
 def subset(members):
+    """Returns the ids of the subset, in order."""
     return [name for _, name in members.view[: members.subset_size]]
 
 
-def world(servers, gateways=400, classes=None, index=0):
-    conf = settings(plans=[BIG], gateways=gateways, index=index)
-    return World(conf, servers, seed=index)
+def build_world(servers, gateways=400, classes=None, index=0):
+    """Returns a scripted world of one gateway out of `gateways`."""
+    configuration = settings(plans=[LARGE_QUOTA], gateways=gateways, index=index)
+    return World(configuration, servers, seed=index)
 
 
 @pytest.mark.parametrize("gateways", [11, 33, 80, 200])
 def test_each_server_is_ranked_first_by_ten_gateways_in_ten_groups(gateways):
     all_members = [Membership(index, gateways, False) for index in range(gateways)]
     for number in range(50):
-        first = [m for m in all_members if m.rank(f"h{number}") < 1.0]
-        assert len(first) == 10 and len({m.group for m in first}) == 10
+        ranked_first = [each for each in all_members if each.rank(f"h{number}") < 1.0]
+        assert len(ranked_first) == 10 and len({each.group for each in ranked_first}) == 10
 
 
-def test_every_server_has_several_gateways_and_no_gateway_more_than_its_part():
-    servers, gateways = listed(1300), 80
-    covered = Counter({server.id: 0 for server in servers})
+def test_subsets_cover_every_server_evenly_and_have_equal_size():
+    servers, gateways = server_list(1300), 80
+    gateways_of_server = Counter({server.id: 0 for server in servers})
     for index in range(gateways):
-        names = subset(membership(index, gateways, servers))
-        assert len(names) == len(set(names)) == 163  # 10 x 1300 / 80, rounded up
-        covered.update(names)
-    assert min(covered.values()) >= 5 and max(covered.values()) <= 16
+        ids = subset(build_membership(index, gateways, servers))
+        assert len(ids) == len(set(ids)) == 163  # 10 x 1300 / 80, rounded up
+        gateways_of_server.update(ids)
+    assert min(gateways_of_server.values()) >= 5 and max(gateways_of_server.values()) <= 16
 
 
 def test_gateways_that_share_a_server_do_not_share_the_others():
-    servers, gateways = listed(1000), 100
-    subsets = [set(subset(membership(index, gateways, servers))) for index in range(gateways)]
-    shared = [len(a & b) for n, a in enumerate(subsets) for b in subsets[:n]]
-    assert max(shared) < 40  # of a hundred each
+    servers, gateways = server_list(1000), 100
+    subsets = [set(subset(build_membership(index, gateways, servers))) for index in range(gateways)]
+    shared = [len(one & other) for n, one in enumerate(subsets) for other in subsets[:n]]
+    assert max(shared) < 40  # of 100 servers in each subset
 
 
-def test_a_list_that_comes_and_goes_leaves_the_same_as_one_that_was_told_at_once():
-    generator, now = random.Random(5), {}
+def test_incremental_changes_give_the_same_membership_as_one_complete_list():
+    generator, listed = random.Random(5), {}
     members = Membership(3, 400, True)
     for _ in range(20_000):
         name = f"h{generator.randrange(6000)}"
         state = generator.choice(("up", "up", "up", "leaving", "down"))
         server = host(name, cell=generator.randrange(50), state=state)
-        now[name] = server
-        members.tell(server)
+        listed[name] = server
+        members.apply(server)
         members.continue_rebuild()
     while members.is_rebuilding:
         members.continue_rebuild()
-    up = {name: server for name, server in now.items() if server.state == "up"}
-    assert members.up == len(up)
-    assert set(members.hosts) == {name for name, server in now.items() if server.state != "down"}
+    up = {name: server for name, server in listed.items() if server.state == "up"}
+    assert members.up_count == len(up)
+    assert set(members.servers) == {name for name, server in listed.items() if server.state != "down"}
     ranked = sorted((members.rank(name), name) for name in up)
     assert members.has_partial_view and members.view == ranked[: len(members.view)]
-    assert len(members.view) >= VIEW_LEAST // 2 >= members.subset_size
-    cells = {cell: set(members.in_cell(cell)) for cell in range(50)}
-    assert cells == {c: {n for n in members.hosts if now[n].cell == c} for c in range(50)}
-
-
-def test_a_view_that_has_lost_most_is_made_anew_in_small_steps():
-    servers = listed(20_000)
-    w = world(servers)
-    gone = sorted(servers, key=lambda s: w.gw.balancer.membership.rank(s.id))[:4000]
-    for start in range(0, len(gone), 100):
-        hosts = tuple(host(s.id, state="down") for s in gone[start : start + 100])
-        w.do(api.HostList("delta", 2, hosts))
-    members = w.gw.balancer.membership
-    assert members.is_rebuilding and len(members.view) < VIEW_LEAST // 2
-    name, acts = w.ask()
-    assert of(acts, api.Send) or members.view == []
-    assert of(w.log and [a for _, a in w.log], api.SetTimer)  # it goes on without any other event
+    assert len(members.view) >= MIN_VIEW_SIZE // 2 >= members.subset_size
+    cells = {cell: set(members.ids_in_cell(cell)) for cell in range(50)}
+    assert cells == {cell: {n for n in members.servers if listed[n].cell == cell} for cell in range(50)}
+
+
+def test_view_that_lost_most_servers_is_rebuilt_in_bounded_steps():
+    servers = server_list(20_000)
+    world = build_world(servers)
+    removed = sorted(servers, key=lambda server: world.gw.balancer.membership.rank(server.id))[:4000]
+    for start in range(0, len(removed), 100):
+        hosts = tuple(host(server.id, state="down") for server in removed[start : start + 100])
+        world.do(api.HostList("delta", 2, hosts))
+    members = world.gw.balancer.membership
+    assert members.is_rebuilding and len(members.view) < MIN_VIEW_SIZE // 2
+    name, actions = world.ask()
+    assert of(actions, api.Send) or members.view == []
+    assert of(
+        world.log and [action for _, action in world.log], api.SetTimer
+    )  # continues without other events
     steps = 0
     while members.is_rebuilding:
-        lines = executed_lines(lambda: w.do(api.Timer(0)))
+        lines = executed_lines(lambda: world.do(api.Timer(0)))
         steps += 1
-        assert lines < 20 * max(SCANNED, 2 * VIEW_LEAST)  # whatever the length of the list
-    assert steps >= 5 and len(members.view) >= VIEW_LEAST
-    assert len(w.gw.balancer.subset) == members.subset_size
-    assert w.ask()[1]
+        assert lines < 20 * max(
+            REBUILD_BATCH_SIZE, 2 * MIN_VIEW_SIZE
+        )  # independent of the length of the list
+    assert steps >= 5 and len(members.view) >= MIN_VIEW_SIZE
+    assert len(world.gw.balancer.subset) == members.subset_size
+    assert world.ask()[1]
 
 
 def change_lines(servers, gateways=3300):
-    """Lines of Python that one change takes in the mean over many servers."""
+    """Returns the mean number of Python lines executed for one change of the server list."""
     deployment = Deployment(gateways, servers)
-    w = World(deployment.settings(0), deployment.hosts())
+    world = World(deployment.settings(0), deployment.hosts())
     step = max(1, servers // 60)
     numbers = range(0, servers, step)
     changes = [(deployment.host(n, state),) for state in ("leaving", "up") for n in numbers]
-    told = [api.HostList("delta", 2, hosts) for hosts in changes]
-    return executed_lines(lambda: [w.gw.handle(w.now, change) for change in told]) / len(told)
+    updates = [api.HostList("delta", 2, hosts) for hosts in changes]
+    return executed_lines(lambda: [world.gw.handle(world.now, update) for update in updates]) / len(updates)
 
 
-def test_one_change_costs_no_more_in_a_long_list_than_in_a_short_one():
+def test_cost_of_one_change_does_not_grow_with_the_list():
     short, long = change_lines(500), change_lines(16_000)
     assert long < 2 * short and long < 100
 
 
-def test_there_is_state_only_for_servers_that_are_worked_with():
-    w = world(listed(12_000), gateways=3300)
-    sent = set()
+def test_server_state_is_kept_only_for_servers_in_view():
+    world = build_world(server_list(12_000), gateways=3300)
+    used = set()
     for _ in range(100):
-        for send in of(w.ask()[1], api.Send):
-            sent.add(send.host)
-            w.end(send)
-    assert len(w.gw.balancer.membership.hosts) == 12_000 and w.gw.balancer.membership.up == 12_000
-    assert len(w.gw.balancer.servers) <= 2 * VIEW_LEAST
-    assert sent <= {s.info.id for s in w.gw.balancer.subset}
-    assert len(w.gw.balancer.subset) == 37  # 10 x 12000 / 3300, rounded up
-
-
-def test_what_a_change_does_not_name_stays():
-    w = world(listed(12_000))
-    before = [s.info.id for s in w.gw.balancer.subset]
-    other = next(n for n in w.gw.balancer.membership.hosts if n not in w.gw.balancer.servers)
-    w.do(api.HostList("delta", 2, (host(other, state="leaving"),)))
-    assert [s.info.id for s in w.gw.balancer.subset] == before
-    w.do(api.HostList("delta", 3, (host(before[0], state="leaving"),)))
-    after = [s.info.id for s in w.gw.balancer.subset]
+        for send in of(world.ask()[1], api.Send):
+            used.add(send.host)
+            world.end(send)
+    assert (
+        len(world.gw.balancer.membership.servers) == 12_000
+        and world.gw.balancer.membership.up_count == 12_000
+    )
+    assert len(world.gw.balancer.servers) <= 2 * MIN_VIEW_SIZE
+    assert used <= {server.info.id for server in world.gw.balancer.subset}
+    assert len(world.gw.balancer.subset) == 37  # 10 x 12000 / 3300, rounded up
+
+
+def test_change_of_one_server_leaves_the_rest_of_the_subset():
+    world = build_world(server_list(12_000))
+    before = [server.info.id for server in world.gw.balancer.subset]
+    other = next(n for n in world.gw.balancer.membership.servers if n not in world.gw.balancer.servers)
+    world.do(api.HostList("delta", 2, (host(other, state="leaving"),)))
+    assert [server.info.id for server in world.gw.balancer.subset] == before
+    world.do(api.HostList("delta", 3, (host(before[0], state="leaving"),)))
+    after = [server.info.id for server in world.gw.balancer.subset]
     assert after[:-1] == before[1:] and after[-1] not in before
 
 
-def test_a_server_that_leaves_the_view_keeps_its_state_while_something_is_out_there():
-    w = world(listed(3000))
-    (send,) = of(w.ask()[1], api.Send)
-    w.do(api.HostList("delta", 2, tuple(listed(9000, 3000))))  # many come before it in the order
-    assert w.gw.balancer.membership.has_partial_view and w.gw.balancer.subset
-    assert send.host in w.gw.balancer.servers and w.gw.balancer.attempts_in_flight == 1
-    w.end(send)
-    assert w.gw.balancer.attempts_in_flight == 0
+def test_server_outside_the_view_keeps_its_state_while_an_attempt_is_in_flight():
+    world = build_world(server_list(3000))
+    (send,) = of(world.ask()[1], api.Send)
+    world.do(api.HostList("delta", 2, tuple(server_list(9000, 3000))))  # many of them rank before it
+    assert world.gw.balancer.membership.has_partial_view and world.gw.balancer.subset
+    assert send.host in world.gw.balancer.servers and world.gw.balancer.attempts_in_flight == 1
+    world.end(send)
+    assert world.gw.balancer.attempts_in_flight == 0
 
 
-def test_a_repeat_that_is_bound_to_a_cell_finds_its_servers_outside_of_the_view():
-    w = world(listed(12_000))
-    tried = 0
+def test_retry_bound_to_a_cell_uses_servers_outside_the_view():
+    world = build_world(server_list(12_000))
+    retries = 0
     for _ in range(12):
-        (first,) = of(w.ask(cls=CELL.name)[1], api.Send)
-        seconds = of(w.end(first, "reset"), api.Send)
-        for second in seconds:
-            cell = w.gw.balancer.membership.hosts[first.host].cell
-            assert second.host != first.host and w.gw.balancer.membership.hosts[second.host].cell == cell
-            tried += 1
-            w.end(second)
-    assert tried > 0
-
-
-def test_a_cold_server_outside_of_the_view_is_used_by_those_that_have_a_place_there():
-    servers = listed(12_000)
+        (first,) = of(world.ask(cls=CELL.name)[1], api.Send)
+        retry_sends = of(world.end(first, "reset"), api.Send)
+        for second in retry_sends:
+            cell = world.gw.balancer.membership.servers[first.host].cell
+            assert (
+                second.host != first.host and world.gw.balancer.membership.servers[second.host].cell == cell
+            )
+            retries += 1
+            world.end(second)
+    assert retries > 0
+
+
+def test_server_in_slow_start_outside_the_view_is_used_by_gateways_with_a_slot():
+    servers = server_list(12_000)
     used = 0
     for index in range(6):
-        w = world(servers, gateways=6 * 100, index=index)
-        w.ask()
-        outside = [n for n in w.gw.balancer.membership.hosts if n not in w.gw.balancer.membership][:400]
-        w.do(api.HostList("delta", 2, tuple(host(n, started=w.now) for n in outside)))
-        placed = [n for n in outside if n in w.gw.balancer.servers]
-        assert len(placed) < 40  # of 400: few gateways have a place at one
-        used += len(placed)
-        assert all(w.gw.balancer.servers[n].slow_start is not None for n in placed)
-        w.now += 30.0  # warm by now
-        w.do(api.HostList("delta", 3, (host("h0", state="leaving"),)))
-        w.ask()
+        world = build_world(servers, gateways=6 * 100, index=index)
+        world.ask()
+        outside = [n for n in world.gw.balancer.membership.servers if n not in world.gw.balancer.membership][
+            :400
+        ]
+        world.do(api.HostList("delta", 2, tuple(host(n, started=world.now) for n in outside)))
+        admitted = [n for n in outside if n in world.gw.balancer.servers]
+        assert len(admitted) < 40  # of 400, because few gateways have a slot at each
+        used += len(admitted)
+        assert all(world.gw.balancer.servers[n].slow_start is not None for n in admitted)
+        world.now += 30.0  # slow start is over
+        world.do(api.HostList("delta", 3, (host("h0", state="leaving"),)))
+        world.ask()
     assert used > 0
 
 
-def test_what_comes_into_view_as_a_list_shrinks_has_state_whatever_is_remembered_of_others():
-    w = world(listed(9000), gateways=400)
-    w.ask()
+def test_servers_that_enter_the_view_of_a_shrinking_list_get_state():
+    world = build_world(server_list(9000), gateways=400)
+    world.ask()
     for count in (5000, 1200, 400):
-        kept = listed(9000)[9000 - count :]
-        w.do(api.HostList("full", 2, tuple(kept)))
+        kept = server_list(9000)[9000 - count :]
+        world.do(api.HostList("full", 2, tuple(kept)))
         for _ in range(40):
-            w.do(api.Timer(0))
-        (send,) = of(w.ask()[1], api.Send)
-        assert send.host in {s.id for s in kept} and len(w.gw.balancer.subset) == max(8, -(-count // 40))
-        w.end(send)
-    assert {s.info.id for s in w.gw.balancer.up_servers} == {s.id for s in kept}
-
-
-def test_a_list_that_shrinks_below_the_view_is_all_in_view():
-    w = world(listed(9000))
-    w.do(api.HostList("full", 2, tuple(listed(50))))
+            world.do(api.Timer(0))
+        (send,) = of(world.ask()[1], api.Send)
+        assert send.host in {server.id for server in kept} and len(world.gw.balancer.subset) == max(
+            8, -(-count // 40)
+        )
+        world.end(send)
+    assert {server.info.id for server in world.gw.balancer.up_servers} == {server.id for server in kept}
+
+
+def test_list_shorter_than_the_view_is_entirely_in_view():
+    world = build_world(server_list(9000))
+    world.do(api.HostList("full", 2, tuple(server_list(50))))
     for _ in range(40):
-        w.do(api.Timer(0))
-    assert {s.info.id for s in w.gw.balancer.up_servers} == {f"h{n}" for n in range(50)}
-    (send,) = of(w.ask()[1], api.Send)
+        world.do(api.Timer(0))
+    assert {server.info.id for server in world.gw.balancer.up_servers} == {f"h{n}" for n in range(50)}
+    (send,) = of(world.ask()[1], api.Send)
     assert send.host in {f"h{n}" for n in range(50)}
 
 
 def retry_lines(servers, gateways=400):
-    """Lines of Python that a further attempt takes after one that was reset."""
-    w = world(listed(servers), gateways=gateways)
-    (send,) = of(w.ask()[1], api.Send)
-    w.gw.budget, sent = 5.0, []  # a gateway of many may have to wait for a retry
-    lines = executed_lines(lambda: sent.extend(of(w.end(send, "reset"), api.Send)))
+    """Returns the number of Python lines executed for a retry after an attempt that was reset."""
+    world = build_world(server_list(servers), gateways=gateways)
+    (send,) = of(world.ask()[1], api.Send)
+    world.gw.budget, sent = 5.0, []  # the initial budget of one gateway of many can be below one retry
+    lines = executed_lines(lambda: sent.extend(of(world.end(send, "reset"), api.Send)))
     assert len(sent) == 1 and sent[0].host != send.host
     return lines
 
 
-def test_a_further_attempt_looks_at_those_kept_to_and_not_at_all_in_view():
+def test_retry_examines_the_subset_and_not_the_whole_view():
     assert retry_lines(1000) < retry_lines(300) + 300
