--- a/calicomast/servers.py
+++ b/calicomast/servers.py
@@ -1,7 +1,7 @@
-"""The servers as one gateway knows them, and the choice among them.
+"""Load balancing: the state of the servers that this gateway uses, and the choice among them.
 
-Part of the decisions: policy.py. What a gateway may do by itself is its part of an amount for all; what is
-less than one is drawn as a chance.
+Part of the policy: policy.py. Limits that hold over all gateways are divided equally among them. Where the
+share of a gateway is fractional, it is rounded at random.
 """
 
 from __future__ import annotations
@@ -18,363 +18,509 @@
 from calicomast.quota import GAIN, QUICK
 from calicomast.slow_start import SlowStartAdmission
 
-TICK = 0.02  # s; coarsest delay of a check on held requests and copies; far under any aim
-GONE_MOST = 30.0  # s that a host which is gone is known: longer than any attempt or repeat on it matters
-CONGESTED = 5.0  # requests held at a server, above which it holds more than it works on well
-SHEDDING_THRESHOLD, CONGESTION_TIME_CONSTANT = (
-    0.5,
-    1.5,
-)  # part of answers from congested servers that sheds work; s taken over
-MAX_ATTEMPTS_PER_SERVER, SPARE_CAPACITY_SHARE = (
-    4.0,
-    0.6,
-)  # attempts out per server over all gateways; part that is clear room;
-OUT_SLACK = 2.0  # times its even part of them that one gateway may have out: traffic is uneven
-SERVERS_OF_HOST = 2.0  # requests a server works on at once, when nothing tells more
-REPORT_AGE, RATE_SPAN = 1.0, 3.0  # s; a load report says half as much after it; own sends are counted over it
-CHOICES, DRAWS = 4.0, 40  # servers compared, times servers over gateways; draws before all are looked at
-COPY_AT = 4.0  # mean deviations above the mean time, after which an attempt is taken for silent
-TRIAL_LEAST, TRIAL_MOST = 0.02, 0.5  # s; pause of a host after one failure there, and after many in a row
-HINDERED_MOST = 0.1  # s; longest pause after this machine could not send
-MIN_SERVICE_TIME = 1e-3  # s; least time of a request that a server's capacity is judged by
-SIZES = ("nominal", "rough")  # meanings of a weight that tell a server's size
-LEAST_CHARGE = 1e-9  # of a request: whether anything may be sent at all
-CROSS_WEIGHT = 10.0  # relative service time given to save one unit of the cross-zone price
+TICK = 0.02  # seconds; granularity of checks on queued and hedged requests, far below any latency target
+REMOVED_SERVER_RETENTION = 30.0  # seconds; no attempt or retry at a removed server matters for longer
+CONGESTED_LOAD = 5.0  # requests at a server; with more, it holds more than it can process efficiently
+SHEDDING_THRESHOLD = 0.5  # share of responses from congested servers above which load is shed
+CONGESTION_TIME_CONSTANT = 1.5  # seconds over which that share is averaged
+MAX_ATTEMPTS_PER_SERVER = 4.0  # attempts in flight at one server, over all gateways
+SPARE_CAPACITY_SHARE = 0.6  # fraction of that limit; a lower mean load counts as spare capacity
+GATEWAY_SHARE_SLACK = 2.0  # factor on a gateway's equal share of that limit, because traffic is uneven
+SERVER_CONCURRENCY = 2.0  # requests that a server processes at once, assumed where nothing is reported
+LOAD_REPORT_HALF_LIFE = 1.0  # seconds after which the weight of a load report has halved
+SEND_RATE_TIME_CONSTANT = 3.0  # seconds over which the send rate of this gateway is averaged
+CANDIDATE_FACTOR = 4.0  # servers compared for a choice, as a multiple of servers per gateway
+MAX_DRAWS = 40  # random draws of candidates before all servers are compared
+HEDGE_DEVIATIONS = 4.0  # mean deviations above the mean latency at which an attempt counts as late
+MIN_COOLDOWN = 0.02  # seconds; cool-down of a server after its first failure
+MAX_COOLDOWN = 0.5  # seconds; cool-down after many failures in a row
+MAX_LOCAL_BACKOFF = 0.1  # seconds; longest backoff after local errors
+MIN_SERVICE_TIME = 1e-3  # seconds; lower bound of the service time from which capacity is computed
+CAPACITY_WEIGHT_MODES = ("nominal", "rough")  # meanings of a server's weight that are about its capacity
+MIN_CHARGE = 1e-9  # requests; a charge small enough to ask whether anything may be sent at all
+CROSS_ZONE_PENALTY = 10.0  # relative service time accepted to save one unit of the cross-zone price
 
 
 class ServerState:
-    def __init__(self, host: api.Host, rounding: float, out: dict) -> None:
-        self.info, self.up, self.in_flight = host, host.state == "up", out  # attempts out: when sent
-        self.others, self.others_at, self.ratio = 0.0, -math.inf, 1.0  # ratio: time against the fleet's
-        self.cooldowns: dict[str, tuple[int, float]] = {}  # host or class: failures in a row, its next trial
-        self.rounding = rounding  # by which its part of an attempt out is rounded
-        self.slow_start: SlowStartAdmission | None = None  # while it may be cold
-
-    def tried(self, now: float, keys: tuple[str, ...], ok: bool) -> None:
-        """A host that fails at once is always free, so the fuller the sound ones are, the more requests it
-        would draw and spend: one that died before the list tells it, turns all away, resets or errs. After
-        each failure it rests, as a whole or for a class, twice as long up to a bound. Harm: after a chance
-        failure a sound host idles for a moment, and one that comes back is found up to TRIAL_MOST late."""
+    """What this gateway knows about one server that it uses.
+
+    Attributes:
+        info: the server as discovery last listed it.
+        up: whether it is listed as up.
+        in_flight: send time of each attempt in flight there, by request id and attempt number.
+        other_load: requests of other gateways there, from the last load report.
+        other_load_at: time of that report.
+        latency_ratio: running mean of its latency relative to that of all servers.
+        cooldowns: failures in a row and the end of the cool-down, by level (whole server or class).
+        rounding: random offset in 0..1 by which the limit of attempts at this server is rounded.
+        slow_start: its slow-start admission; None if it started long ago.
+    """
+
+    def __init__(self, info: api.Host, rounding: float, in_flight: dict) -> None:
+        self.info, self.up, self.in_flight = info, info.state == "up", in_flight
+        self.other_load = 0.0
+        self.other_load_at = -math.inf
+        self.latency_ratio = 1.0
+        self.cooldowns: dict[str, tuple[int, float]] = {}
+        self.rounding = rounding
+        self.slow_start: SlowStartAdmission | None = None
+
+    def record_result(self, now: float, levels: tuple[str, ...], ok: bool) -> None:
+        """Starts or ends the cool-down of this server after an attempt.
+
+        A server that fails immediately always looks idle, so it would attract more requests the busier the
+        healthy servers are, and fail them all: one that crashed before discovery reports it, or that rejects,
+        resets or errs. So each failure ejects it, as a whole or for one class, for a time that doubles with
+        each failure in a row up to MAX_COOLDOWN.
+
+        Trade-off: after an isolated failure a healthy server idles briefly, and the recovery of a failed one
+        is noticed up to MAX_COOLDOWN late.
+        """
         if ok:
-            for key in keys if self.cooldowns else ():
-                self.cooldowns.pop(key, None)
+            for level in levels if self.cooldowns else ():
+                self.cooldowns.pop(level, None)
             return
-        failed = self.cooldowns.get(keys[-1], (0, 0.0))[0] + 1
-        self.cooldowns[keys[-1]] = failed, now + min(TRIAL_MOST, TRIAL_LEAST * 2.0 ** min(failed - 1, 10))
+        failures = self.cooldowns.get(levels[-1], (0, 0.0))[0] + 1
+        self.cooldowns[levels[-1]] = (
+            failures,
+            now + min(MAX_COOLDOWN, MIN_COOLDOWN * 2.0 ** min(failures - 1, 10)),
+        )
 
-    def resting(self, now: float, keys: tuple[str, ...]) -> bool:
-        return bool(self.cooldowns) and any(now < self.cooldowns.get(key, (0, 0.0))[1] for key in keys)
+    def is_cooling_down(self, now: float, levels: tuple[str, ...]) -> bool:
+        """Returns whether the server is ejected at one of these levels."""
+        return bool(self.cooldowns) and any(now < self.cooldowns.get(level, (0, 0.0))[1] for level in levels)
 
     def slow_start_weight(self, now: float, rules: api.Rules) -> float:
+        """Returns the fraction of its capacity that the server has; 1 after slow start."""
         age = max(0.0, now - self.info.started)
-        cold = 0 < self.info.started and age < rules.cold_time
-        return rules.cold_share + (1 - rules.cold_share) * age / rules.cold_time if cold else 1.0
+        is_starting = 0 < self.info.started and age < rules.cold_time
+        return rules.cold_share + (1 - rules.cold_share) * age / rules.cold_time if is_starting else 1.0
 
 
 class LoadBalancer:
+    """Chooses servers for attempts, and learns from the outcomes.
+
+    Attributes:
+        settings: the settings of the gateway.
+        rng: random generator shared with the rest of the policy.
+        detector: failure estimates of all servers.
+        servers: state of each server that this gateway uses, by id.
+        membership: the server list, with this gateway's view and subset.
+        removed_at: time since when each server with state is no longer listed, by id.
+        is_stale: whether the server lists below have to be computed again.
+        now: time of the event that the policy handles; the policy sets it.
+        server_attempt_limit: attempts that this gateway may have in flight at one server, not yet rounded.
+        mean_latency: running mean of the latency of successful attempts (seconds), by class.
+        latency_deviation: running mean deviation from it (seconds), by class.
+        answer_counts: successful attempts, by class.
+        last_send_rate: sends per second of this gateway at its last send.
+        last_send_at: time of that send.
+        attempts_in_flight: attempts of this gateway in flight at all servers.
+        mean_reported_load: running mean of the load in load reports.
+        has_load_reports: whether any load report was received.
+        congested_share: running share of responses that come from congested servers or timed out.
+        last_answer_at: time of the last response that counts for that share.
+        local_backoff_until: time until which this machine sends nothing after local errors.
+        local_errors: local errors in a row.
+        max_weight: largest weight of all servers that are up.
+        mean_service_time: running mean latency over all classes (seconds).
+    """
+
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
-        self.set, self.rng, self.detector = settings, rng, FailureDetector()
+        self.settings, self.rng, self.detector = settings, rng, FailureDetector()
         self.servers: dict[str, ServerState] = {}
-        cells = any(c.effect == "keyed" and c.scope == "cell" for c in settings.classes.values())
-        self.membership = Membership(settings.index, settings.gateways, cells)
-        self.gone: dict[str, float] = {}  # servers that are gone, and since when
-        self._up: list[ServerState] = []
+        track_cells = any(c.effect == "keyed" and c.scope == "cell" for c in settings.classes.values())
+        self.membership = Membership(settings.index, settings.gateways, track_cells)
+        self.removed_at: dict[str, float] = {}
+        self._up_servers: list[ServerState] = []
         self._subset: list[ServerState] = []
-        self._cold: list[ServerState] = []
-        self.stale, self.now = False, 0.0  # whether these three are; time of the event that is handled
+        self._starting: list[ServerState] = []  # servers in slow start outside of the subset
+        self.is_stale = False
+        self.now = 0.0
         self.server_attempt_limit = max(1.0, MAX_ATTEMPTS_PER_SERVER / settings.gateways)
         self.mean_latency = {c.name: min(c.aim / 5, c.deadline) for c in settings.classes.values()}
-        self.latency_deviation, self.seen = dict(self.mean_latency), dict.fromkeys(self.mean_latency, 0)
-        self.rate, self.rate_at = 0.0, 0.0  # own sends a second
-        self.attempts_in_flight, self.held, self.has_load_reports = (
-            0,
-            0.0,
-            False,
-        )  # own attempts out; mean load of reports, if any
-        self.congested_share, self.last_answer_at = 0.0, 0.0
-        self.local_backoff_until = 0.0  # this machine cannot send until then
-        self.hindrances = 0  # so often in a row
-        self.top = 1.0  # largest weight
-        self.mean_service_time = sum(self.mean_latency.values()) / len(
-            self.mean_latency
-        )  # s that an answer takes, over all classes
+        self.latency_deviation = dict(self.mean_latency)
+        self.answer_counts = dict.fromkeys(self.mean_latency, 0)
+        self.last_send_rate = 0.0
+        self.last_send_at = 0.0
+        self.attempts_in_flight = 0
+        self.mean_reported_load = 0.0
+        self.has_load_reports = False
+        self.congested_share = 0.0
+        self.last_answer_at = 0.0
+        self.local_backoff_until = 0.0
+        self.local_errors = 0
+        self.max_weight = 1.0
+        self.mean_service_time = sum(self.mean_latency.values()) / len(self.mean_latency)
 
     @property
     def up_servers(self) -> list[ServerState]:
-        """Servers in view that are up."""
+        """The servers with state that are up: those in view, and some in slow start."""
         self.refresh()
-        return self._up
+        return self._up_servers
 
     @property
     def subset(self) -> list[ServerState]:
-        """Those of them that this gateway keeps to."""
+        """The servers that this gateway sends to by default."""
         self.refresh()
         return self._subset
 
     def apply_server_list(self, now: float, event: api.HostList) -> None:
+        """Applies a server list from discovery, complete or with changes only."""
         if event.mode not in ("delta", "failed"):
-            for host in self.membership.missing_from({h.id for h in event.hosts}):
-                self.apply_server(now, dataclasses.replace(host, state="down"))
-        for host in event.hosts:
-            self.apply_server(now, host)
-        self.forget(now)
-
-    def apply_server(self, now: float, host: api.Host) -> None:
-        """Takes over what was said of one server; there is state only for those worked with."""
-        self.membership.apply(host)
-        old = self.servers.get(host.id)
-        if old is None and not (host.id in self.membership or self.has_place(host, now)):
+            for info in self.membership.missing_from({h.id for h in event.hosts}):
+                self.apply_server(now, dataclasses.replace(info, state="down"))
+        for info in event.hosts:
+            self.apply_server(now, info)
+        self.drop_removed_servers(now)
+
+    def apply_server(self, now: float, info: api.Host) -> None:
+        """Applies the listed state of one server; only servers that this gateway uses get a ServerState."""
+        self.membership.apply(info)
+        old = self.servers.get(info.id)
+        if old is None and not (info.id in self.membership or self.has_slow_start_slot(info, now)):
             return
-        if old is None or (host.state == "up" and host.started > old.info.started):
-            self.servers[host.id] = self.new_server(host, old.in_flight if old else {})
+        if old is None or (info.state == "up" and info.started > old.info.started):
+            self.servers[info.id] = self.new_state(info, old.in_flight if old else {})
         else:
-            old.info, old.up = host, host.state == "up"
-        if host.state != "down":
-            self.gone.pop(host.id, None)
+            old.info, old.up = info, info.state == "up"
+        if info.state != "down":
+            self.removed_at.pop(info.id, None)
         else:
-            self.gone.setdefault(host.id, now)
-        self.stale = True
+            self.removed_at.setdefault(info.id, now)
+        self.is_stale = True
 
-    def has_place(self, host: api.Host, now: float) -> bool:
-        """Whether a server outside of the view is cold and may be sent to from here while it is."""
-        age = now - host.started
-        if host.state != "up" or not host.started or age >= self.set.rules.cold_time:
+    def has_slow_start_slot(self, info: api.Host, now: float) -> bool:
+        """Returns whether this gateway may send to a server outside of its view during its slow start."""
+        age = now - info.started
+        if info.state != "up" or not info.started or age >= self.settings.rules.cold_time:
             return False
-        admission = SlowStartAdmission(host, self.set.index, self.set.gateways, self.set.rules)
+        admission = SlowStartAdmission(info, self.settings.index, self.settings.gateways, self.settings.rules)
         return admission.position < admission.budget(
-            1.0, SERVERS_OF_HOST / max(self.mean_service_time, MIN_SERVICE_TIME)
+            1.0, SERVER_CONCURRENCY / max(self.mean_service_time, MIN_SERVICE_TIME)
         )
 
-    def new_server(self, host: api.Host, out: dict) -> ServerState:
-        server = ServerState(host, self.rng.random(), out)
-        if host.started > 0:
-            server.slow_start = SlowStartAdmission(host, self.set.index, self.set.gateways, self.set.rules)
+    def new_state(self, info: api.Host, in_flight: dict) -> ServerState:
+        """Creates the state of a server, with its slow-start admission unless it started long ago (0)."""
+        server = ServerState(info, self.rng.random(), in_flight)
+        if info.started > 0:
+            server.slow_start = SlowStartAdmission(
+                info, self.settings.index, self.settings.gateways, self.settings.rules
+            )
         return server
 
     def continue_view_rebuild(self) -> None:
-        """Does a part of the work that a new view takes, if there is some."""
-        self.stale = self.membership.continue_rebuild() or self.stale
+        """Scans one batch of servers if a rebuild of the view is running; the policy calls it per event."""
+        self.is_stale = self.membership.continue_rebuild() or self.is_stale
 
     def refresh(self) -> None:
-        """Makes the lists of servers anew, after something was told of one of them."""
-        if not self.stale:
+        """Computes the server lists again if the listed state of a server or the view has changed."""
+        if not self.is_stale:
             return
-        self.stale = False
+        self.is_stale = False
         if self.membership.was_trimmed:
-            self.follow_view()
-        servers, rules = self.servers, self.set.rules
-        self._up = [s for s in servers.values() if s.up]
-        self.top = max((s.info.weight for s in self._up), default=1.0) or 1.0
-        many = self.membership.subset_size
-        if many >= self.membership.up_count:
-            self._subset, self._cold = self._up, []
+            self.sync_with_view()
+        servers, rules = self.servers, self.settings.rules
+        self._up_servers = [s for s in servers.values() if s.up]
+        self.max_weight = max((s.info.weight for s in self._up_servers), default=1.0) or 1.0
+        subset_size = self.membership.subset_size
+        if subset_size >= self.membership.up_count:
+            self._subset, self._starting = self._up_servers, []
             return
-        self._subset = [servers[name] for _, name in self.membership.view[:many]]
-        cold = [
-            s for s in self._up if s.slow_start is not None and s.slow_start_weight(self.now, rules) < 1.0
+        self._subset = [servers[server_id] for _, server_id in self.membership.view[:subset_size]]
+        starting = [
+            s
+            for s in self._up_servers
+            if s.slow_start is not None and s.slow_start_weight(self.now, rules) < 1.0
         ]
-        kept_to = {s.info.id for s in self._subset} if cold else set()
-        self._cold = [s for s in cold if s.info.id not in kept_to]
-
-    def follow_view(self) -> None:
-        """Gives each server that has come into view its state, and drops that of others that are listed: none
-        but those with something out, or cold and with a place, are worked with."""
-        view = {name for _, name in self.membership.view}
-        for name in list(self.servers):
-            s, listed = self.servers[name], name in self.membership.servers
-            cold = s.up and s.slow_start is not None and s.slow_start_weight(self.now, self.set.rules) < 1.0
-            if listed and name not in view and not s.in_flight and not cold:
-                del self.servers[name]
-                self.detector.forget(name)
-        for _, name in self.membership.view:
-            if name not in self.servers:
-                self.servers[name] = self.new_server(self.membership.servers[name], {})
-
-    def server_info(self, name: str) -> api.Host | None:
-        """What is known of a server; None for one that is gone for long."""
-        server = self.servers.get(name)
-        return server.info if server is not None else self.membership.servers.get(name)
+        subset_ids = {s.info.id for s in self._subset} if starting else set()
+        self._starting = [s for s in starting if s.info.id not in subset_ids]
+
+    def sync_with_view(self) -> None:
+        """Creates the state of servers that have come into view, and drops that of listed ones outside of it.
+
+        Servers with attempts in flight keep their state, and so do servers in slow start at which this
+        gateway has a slot.
+        """
+        view_ids = {server_id for _, server_id in self.membership.view}
+        for server_id in list(self.servers):
+            server, is_listed = self.servers[server_id], server_id in self.membership.servers
+            is_starting = (
+                server.up
+                and server.slow_start is not None
+                and server.slow_start_weight(self.now, self.settings.rules) < 1.0
+            )
+            if is_listed and server_id not in view_ids and not server.in_flight and not is_starting:
+                del self.servers[server_id]
+                self.detector.forget(server_id)
+        for _, server_id in self.membership.view:
+            if server_id not in self.servers:
+                self.servers[server_id] = self.new_state(self.membership.servers[server_id], {})
+
+    def server_info(self, server_id: str) -> api.Host | None:
+        """Returns a server as it was last listed; None if it was removed long ago."""
+        server = self.servers.get(server_id)
+        return server.info if server is not None else self.membership.servers.get(server_id)
 
     def servers_in_cell(self, cell: int) -> list[ServerState]:
-        """The servers of a cell, in view or not."""
-        names = [
-            name for name in self.membership.ids_in_cell(cell) if self.membership.servers[name].state == "up"
+        """Returns the servers of a cell that are up, in view or not."""
+        server_ids = [
+            server_id
+            for server_id in self.membership.ids_in_cell(cell)
+            if self.membership.servers[server_id].state == "up"
         ]
-        for name in names:
-            if name not in self.servers:
-                self.servers[name] = self.new_server(self.membership.servers[name], {})
-        return [self.servers[name] for name in names]
-
-    def forget(self, now: float) -> None:
-        """Hosts come under ever new ids: what is gone for long, with nothing out there, is dropped."""
-        for name in [name for name, at in self.gone.items() if now - at > GONE_MOST]:
-            if not self.servers[name].in_flight:
-                del self.servers[name], self.gone[name]
-                self.detector.forget(name)
-                self.stale = True
+        for server_id in server_ids:
+            if server_id not in self.servers:
+                self.servers[server_id] = self.new_state(self.membership.servers[server_id], {})
+        return [self.servers[server_id] for server_id in server_ids]
+
+    def drop_removed_servers(self, now: float) -> None:
+        """Drops servers without attempts in flight that were removed REMOVED_SERVER_RETENTION seconds ago.
+
+        Without this the state would grow without bound, because new servers come with new ids.
+        """
+        for server_id in [
+            server_id for server_id, at in self.removed_at.items() if now - at > REMOVED_SERVER_RETENTION
+        ]:
+            if not self.servers[server_id].in_flight:
+                del self.servers[server_id], self.removed_at[server_id]
+                self.detector.forget(server_id)
+                self.is_stale = True
 
     def mean_server_load(self) -> float:
+        """Returns the mean number of requests at a server: reported, or estimated from this gateway's own."""
         return (
-            self.held
+            self.mean_reported_load
             if self.has_load_reports
-            else self.attempts_in_flight * self.set.gateways / max(1, self.membership.up_count)
+            else self.attempts_in_flight * self.settings.gateways / max(1, self.membership.up_count)
         )
 
     def send_rate(self, now: float) -> float:
-        return self.rate * math.exp((self.rate_at - now) / RATE_SPAN)
+        """Returns the sends per second of this gateway, as an exponentially decaying mean."""
+        return self.last_send_rate * math.exp((self.last_send_at - now) / SEND_RATE_TIME_CONSTANT)
 
-    def hedge_delay(self, name: str) -> float:
-        """Time after which an attempt is taken for silent."""
-        return max(TICK, self.mean_latency[name] + COPY_AT * self.latency_deviation[name])
+    def hedge_delay(self, class_name: str) -> float:
+        """Returns the seconds after which an unanswered attempt of a class counts as late."""
+        return max(
+            TICK, self.mean_latency[class_name] + HEDGE_DEVIATIONS * self.latency_deviation[class_name]
+        )
 
     def may_send(
-        self, s: ServerState, now: float, keys: tuple[str, ...] = ("server",), charge: float = LEAST_CHARGE
+        self,
+        server: ServerState,
+        now: float,
+        levels: tuple[str, ...] = ("server",),
+        charge: float = MIN_CHARGE,
     ) -> bool:
-        # Many gateways with one out at each server overdrive all, so what one has out in all is limited too.
-        most = max(2.0, OUT_SLACK * MAX_ATTEMPTS_PER_SERVER * self.membership.up_count / self.set.gateways)
+        """Returns whether an attempt may be sent to a server now.
+
+        `charge` is what the attempt takes from the slow-start budget of the server.
+        """
+        # Many gateways with one attempt at each server would overload all servers, so the attempts of a
+        # gateway at all servers together are limited too.
+        max_in_flight = max(
+            2.0,
+            GATEWAY_SHARE_SLACK * MAX_ATTEMPTS_PER_SERVER * self.membership.up_count / self.settings.gateways,
+        )
         if (
-            not s.up
-            or len(s.in_flight) >= int(self.server_attempt_limit + s.rounding)
-            or self.attempts_in_flight >= most
-            or s.resting(now, keys)
+            not server.up
+            or len(server.in_flight) >= int(self.server_attempt_limit + server.rounding)
+            or self.attempts_in_flight >= max_in_flight
+            or server.is_cooling_down(now, levels)
         ):
             return False
         if now < self.local_backoff_until:
             return False
-        rules = self.set.rules
-        if s.slow_start is None or s.slow_start_weight(now, rules) == 1.0:
+        rules = self.settings.rules
+        if server.slow_start is None or server.slow_start_weight(now, rules) == 1.0:
             return True
-        # The window that ends now began when the server was colder.
+        # The budget window that ends now began when the server had less capacity.
         return (
-            s.slow_start.remaining(now, s.slow_start_weight(now - rules.fall_time, rules), self.capacity(s))
+            server.slow_start.remaining(
+                now, server.slow_start_weight(now - rules.fall_time, rules), self.capacity(server)
+            )
             >= charge
         )
 
-    def capacity(self, s: ServerState) -> float:
-        """Requests of mean work a second that a server serves when it is warm, about. Time in line makes it
-        less than it is, which errs on the safe side."""
-        size = s.info.weight / self.top if self.set.weights in SIZES else 1.0
-        return size * SERVERS_OF_HOST / max(self.mean_service_time, MIN_SERVICE_TIME)
+    def capacity(self, server: ServerState) -> float:
+        """Estimates the requests of mean work per second that a server serves after slow start.
+
+        Latency includes time in the server's queue, so the estimate is too low rather than too high.
+        """
+        size = server.info.weight / self.max_weight if self.settings.weights in CAPACITY_WEIGHT_MODES else 1.0
+        return size * SERVER_CONCURRENCY / max(self.mean_service_time, MIN_SERVICE_TIME)
 
     def has_capacity(self, now: float) -> bool:
-        return any(self.may_send(s, now) for s in self.up_servers)
-
-    def weight(self, s: ServerState, keys: tuple[str, ...], now: float) -> float:
-        size = s.info.weight / self.top * self.cold_weight(s, now)
-        return size * self.detector.health_weight(s.info.id, keys, now)
-
-    def cold_weight(self, s: ServerState, now: float) -> float:
-        """A cold server's part of a warm one's requests. Where fewer gateways have a place there than keep to
-        a warm one, those send it the more."""
-        warmth = s.slow_start_weight(now, self.set.rules)
-        if s.slow_start is None or warmth == 1.0:
-            return warmth
-        gateways = self.set.gateways
-        keep_to_one = gateways * len(self.subset) / max(1, self.membership.up_count)
-        places = min(gateways, s.slow_start.budget(warmth, self.capacity(s)))
-        return min(1.0, warmth * max(1.0, keep_to_one / places))
-
-    def score(self, s: ServerState, keys: tuple[str, ...], now: float) -> float:
-        fresh = 0.5 ** ((now - s.others_at) / REPORT_AGE)  # without a report it is as busy as the rest
-        load = len(s.in_flight) + fresh * s.others + (1 - fresh) * self.mean_server_load()
-        size = max(s.info.weight, 1e-9)  # what a cold one may get is up to its admission
-        cross = self.set.prices.get("cross_zone", 0.0) * CROSS_WEIGHT if s.info.zone != self.set.zone else 0.0
-        sound = max(0.01, self.detector.health_weight(s.info.id, keys, now))
-        return max(0.3, s.ratio) * (1 + load / SERVERS_OF_HOST) / size / sound + cross
+        """Returns whether an attempt may be sent to any server now."""
+        return any(self.may_send(server, now) for server in self.up_servers)
+
+    def draw_weight(self, server: ServerState, levels: tuple[str, ...], now: float) -> float:
+        """Returns the probability in 0..1 with which a drawn server becomes a candidate."""
+        size = server.info.weight / self.max_weight * self.slow_start_traffic_share(server, now)
+        return size * self.detector.health_weight(server.info.id, levels, now)
+
+    def slow_start_traffic_share(self, server: ServerState, now: float) -> float:
+        """Returns the traffic that this gateway gives to a server in slow start, relative to a warm server.
+
+        If fewer gateways have a slot there than have a warm server in their subset, each of them sends more.
+        """
+        weight = server.slow_start_weight(now, self.settings.rules)
+        if server.slow_start is None or weight == 1.0:
+            return weight
+        gateways = self.settings.gateways
+        gateways_per_server = gateways * len(self.subset) / max(1, self.membership.up_count)
+        slots = min(gateways, server.slow_start.budget(weight, self.capacity(server)))
+        return min(1.0, weight * max(1.0, gateways_per_server / slots))
+
+    def score(self, server: ServerState, levels: tuple[str, ...], now: float) -> float:
+        """Returns the expected cost of an attempt at a server; the server with the lowest is chosen."""
+        # Without a recent load report a server is assumed to have the mean load.
+        freshness = 0.5 ** ((now - server.other_load_at) / LOAD_REPORT_HALF_LIFE)
+        load = (
+            len(server.in_flight) + freshness * server.other_load + (1 - freshness) * self.mean_server_load()
+        )
+        size = max(server.info.weight, 1e-9)  # without slow start: its admission limits what is sent
+        cross_zone_cost = (
+            self.settings.prices.get("cross_zone", 0.0) * CROSS_ZONE_PENALTY
+            if server.info.zone != self.settings.zone
+            else 0.0
+        )
+        health = max(0.01, self.detector.health_weight(server.info.id, levels, now))
+        return (
+            max(0.3, server.latency_ratio) * (1 + load / SERVER_CONCURRENCY) / size / health + cross_zone_cost
+        )
 
     def pick_server(
-        self, now: float, keys: tuple[str, ...], fits: Callable[[ServerState], bool] | None, charge: float
+        self,
+        now: float,
+        levels: tuple[str, ...],
+        is_eligible: Callable[[ServerState], bool] | None,
+        charge: float,
     ) -> ServerState | None:
-        """One of those that this gateway keeps to or has a place at while they are cold, or of all where none
-        of these is able. A gateway of many that spreads its few requests over all servers opens a connection
-        to each, and learns of none. Harm: servers that more gateways than others keep to are busier, until
-        they are passed over."""
+        """Chooses a server for an attempt; None if there is none that may be sent to.
+
+        The choice is among the subset and the servers in slow start at which this gateway has a slot, or
+        among all up servers with state if none of these may be sent to. If one gateway of many spread its few
+        requests over all servers, it would open a connection to each and learn about none.
+
+        Trade-off: servers in the subset of more gateways than others are busier, until gateways avoid them.
+        """
         if len(self.subset) < self.membership.up_count:
-            subset = self.subset + self.admitted(now, keys, charge)
+            subset = self.subset + self.admitted_in_slow_start(now, levels, charge)
             found = self.best_server(
-                now, keys, subset if fits is None else list(filter(fits, subset)), charge
+                now, levels, subset if is_eligible is None else list(filter(is_eligible, subset)), charge
             )
             if found is not None:
                 return found
         return self.best_server(
-            now, keys, self.up_servers if fits is None else list(filter(fits, self.up_servers)), charge
+            now,
+            levels,
+            self.up_servers if is_eligible is None else list(filter(is_eligible, self.up_servers)),
+            charge,
         )
 
-    def admitted(self, now: float, keys: tuple[str, ...], charge: float) -> list[ServerState]:
-        """Cold servers besides those kept to at which this gateway has a place now."""
-        if self._cold:
-            self._cold = [s for s in self._cold if s.slow_start_weight(now, self.set.rules) < 1.0]
-        return [s for s in self._cold if self.may_send(s, now, keys, charge)]
+    def admitted_in_slow_start(self, now: float, levels: tuple[str, ...], charge: float) -> list[ServerState]:
+        """Returns the servers in slow start outside of the subset that this gateway may send to now."""
+        if self._starting:
+            self._starting = [
+                s for s in self._starting if s.slow_start_weight(now, self.settings.rules) < 1.0
+            ]
+        return [s for s in self._starting if self.may_send(s, now, levels, charge)]
 
     def best_server(
-        self, now: float, keys: tuple[str, ...], pool: list[ServerState], charge: float
+        self, now: float, levels: tuple[str, ...], candidates: list[ServerState], charge: float
     ) -> ServerState | None:
-        """Best of some servers, drawn by weight: as many as this gateway has fresh reports for, two at least,
-        since the best of all by an old report is the same server for all gateways."""
-        few = max(2, math.ceil(CHOICES * len(pool) / self.set.gateways))
-        if few < len(pool):
-            draws = (pool[int(self.rng.random() * len(pool))] for _ in range(DRAWS))
-            sure = self.rng.random
-            sound = (s for s in draws if sure() < self.weight(s, keys, now))
-            fit = (s for s in sound if self.may_send(s, now, keys, charge))
-            pool = list(itertools.islice(fit, few)) or pool
-        able = [s for s in pool if self.may_send(s, now, keys, charge)]
-        return min(able, key=lambda s: self.score(s, keys, now) + TICK * self.rng.random(), default=None)
-
-    def record_send(self, s: ServerState, key: tuple[str, int], now: float, charge: float) -> None:
-        s.in_flight[key] = now
-        if s.slow_start is not None and s.slow_start_weight(now, self.set.rules) < 1.0:
-            s.slow_start.record_send(now, charge, key)
+        """Returns the server with the lowest score among candidates drawn by weight, or None.
+
+        As many are compared as this gateway has recent load reports for, at least two: with old reports the
+        best of all servers would be the same one for all gateways.
+        """
+        sample_size = max(2, math.ceil(CANDIDATE_FACTOR * len(candidates) / self.settings.gateways))
+        if sample_size < len(candidates):
+            draws = (candidates[int(self.rng.random() * len(candidates))] for _ in range(MAX_DRAWS))
+            random_draw = self.rng.random
+            accepted = (s for s in draws if random_draw() < self.draw_weight(s, levels, now))
+            able = (s for s in accepted if self.may_send(s, now, levels, charge))
+            candidates = list(itertools.islice(able, sample_size)) or candidates
+        able_candidates = [s for s in candidates if self.may_send(s, now, levels, charge)]
+        return min(
+            able_candidates,
+            key=lambda s: self.score(s, levels, now) + TICK * self.rng.random(),
+            default=None,
+        )
+
+    def record_send(self, server: ServerState, key: tuple[str, int], now: float, charge: float) -> None:
+        """Records that the attempt `key` (request id, attempt number) was sent to a server."""
+        server.in_flight[key] = now
+        if server.slow_start is not None and server.slow_start_weight(now, self.settings.rules) < 1.0:
+            server.slow_start.record_send(now, charge, key)
         self.attempts_in_flight += 1
-        self.rate, self.rate_at = self.send_rate(now) + 1.0 / RATE_SPAN, now
+        self.last_send_rate, self.last_send_at = self.send_rate(now) + 1.0 / SEND_RATE_TIME_CONSTANT, now
 
-    def admits_delayed_write(self, s: ServerState, key: tuple[str, int], now: float, charge: float) -> bool:
-        """Whether an attempt whose connection came up late may still be written to a server that was cold."""
-        rules = self.set.rules
-        if s.slow_start is None or s.slow_start_weight(now, rules) == 1.0:
+    def admits_delayed_write(
+        self, server: ServerState, key: tuple[str, int], now: float, charge: float
+    ) -> bool:
+        """Returns whether an attempt to a server in slow start may be written though it connected late."""
+        rules = self.settings.rules
+        if server.slow_start is None or server.slow_start_weight(now, rules) == 1.0:
             return True
-        warmth = s.slow_start_weight(now - rules.fall_time, rules)
-        return s.slow_start.readmit(now, charge, key, warmth, self.capacity(s))
+        weight = server.slow_start_weight(now - rules.fall_time, rules)
+        return server.slow_start.readmit(now, charge, key, weight, self.capacity(server))
 
     def record_local_error(self, now: float) -> None:
-        """This machine could not send: nothing goes for a moment, the longer the more often that was so in
-        a row. The servers are not to blame."""
+        """Stops sending for a while after an error of this machine; longer with each such error in a row.
+
+        Local errors do not count against servers.
+        """
         if now >= self.local_backoff_until:
-            self.hindrances += 1
-            self.local_backoff_until = now + min(HINDERED_MOST, TICK * 2.0 ** min(self.hindrances - 1, 10))
+            self.local_errors += 1
+            self.local_backoff_until = now + min(
+                MAX_LOCAL_BACKOFF, TICK * 2.0 ** min(self.local_errors - 1, 10)
+            )
 
     def record_outcome(
-        self, now: float, event: api.Outcome, cls: api.ServiceClass | None, keys: tuple[str, ...]
+        self, now: float, event: api.Outcome, cls: api.ServiceClass | None, levels: tuple[str, ...]
     ) -> None:
-        s = self.servers.get(event.host)
-        if s is None:  # gone for longer than anything there could matter
+        """Learns from the outcome of an attempt: load, failures, congestion and latency.
+
+        `cls` is the class of the request, None if the request has already ended.
+        """
+        server = self.servers.get(event.host)
+        if server is None:  # removed so long ago that its outcomes no longer matter
             return
-        out, high = len(s.in_flight), event.result == "timeout"
-        self.attempts_in_flight -= s.in_flight.pop((event.id, event.attempt), None) is not None
+        in_flight, is_congested = len(server.in_flight), event.result == "timeout"
+        self.attempts_in_flight -= server.in_flight.pop((event.id, event.attempt), None) is not None
         if event.result != "moot" and event.result not in api.NEVER_BEGAN:
-            self.hindrances = 0
+            self.local_errors = 0
         if event.report:
-            held = event.report.get("inflight")
-            if held is None:
-                held = event.report.get("queue", 0.0) + SERVERS_OF_HOST * event.report.get("util", 0.0)
-            s.others, s.others_at = max(0.0, held - out), now
-            self.held += (QUICK if self.has_load_reports else 1.0) * (held - self.held)
-            self.has_load_reports, high = True, held > CONGESTED
+            load = event.report.get("inflight")
+            if load is None:
+                load = event.report.get("queue", 0.0) + SERVER_CONCURRENCY * event.report.get("util", 0.0)
+            server.other_load, server.other_load_at = max(0.0, load - in_flight), now
+            self.mean_reported_load += (QUICK if self.has_load_reports else 1.0) * (
+                load - self.mean_reported_load
+            )
+            self.has_load_reports, is_congested = True, load > CONGESTED_LOAD
         if event.result in ("connect_failed", "full", "error", "reset", "ok"):
-            level = keys[:1] if event.result == "connect_failed" else keys
-            self.detector.record(event.host, level, event.result != "ok", now)
-            s.tried(now, level[:2], event.result == "ok")
+            affected = levels[:1] if event.result == "connect_failed" else levels
+            self.detector.record(event.host, affected, event.result != "ok", now)
+            server.record_result(now, affected[:2], event.result == "ok")
         if event.report or event.result in ("ok", "timeout"):
             gain = max(QUICK / 2, 1 - math.exp((self.last_answer_at - now) / CONGESTION_TIME_CONSTANT))
             self.congested_share, self.last_answer_at = (
-                self.congested_share + min(gain, 0.5) * (high - self.congested_share),
+                self.congested_share + min(gain, 0.5) * (is_congested - self.congested_share),
                 now,
             )
         if event.result != "ok" or cls is None:
             return
-        s.ratio += QUICK * (min(event.elapsed / max(self.mean_latency[cls.name], 1e-6), 10.0) - s.ratio)
-        self.seen[cls.name] += 1
-        gain, off = max(1 / self.seen[cls.name], GAIN), event.elapsed - self.mean_latency[cls.name]
-        self.mean_latency[cls.name] += gain * off
+        server.latency_ratio += QUICK * (
+            min(event.elapsed / max(self.mean_latency[cls.name], 1e-6), 10.0) - server.latency_ratio
+        )
+        self.answer_counts[cls.name] += 1
+        gain = max(1 / self.answer_counts[cls.name], GAIN)
+        deviation = event.elapsed - self.mean_latency[cls.name]
+        self.mean_latency[cls.name] += gain * deviation
         self.mean_service_time += gain * (event.elapsed - self.mean_service_time)
-        self.latency_deviation[cls.name] += gain * (abs(off) * (1 - gain) - self.latency_deviation[cls.name])
+        self.latency_deviation[cls.name] += gain * (
+            abs(deviation) * (1 - gain) - self.latency_deviation[cls.name]
+        )
