--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,8 @@
-"""A cold server bears only so much from all gateways together, whatever each of them has saved up."""
+"""A server in slow start is not overloaded by all gateways together.
+
+Gateways cannot see what the others send, so limits that each keeps by itself can add up to more than the
+server can take, above all after an idle period, the loss of other servers or a restart of gateways.
+"""
 
 import pytest
 from helpers import plan
@@ -14,22 +18,25 @@
 )
 
 
-def burst_after_a_lull(now):
+def burst_after_idle_period(now):
+    """Returns the load, relative to the usual one, at a virtual time in seconds."""
     if now <= STARTED_AT + 1.0:
         return 1.0
     return 8.0 if now >= TROUBLE_AT else 0.0
 
 
-@pytest.mark.parametrize("load", [lambda now: 1.0, burst_after_a_lull], ids=["steady", "burst after a lull"])
+@pytest.mark.parametrize(
+    "load", [lambda now: 1.0, burst_after_idle_period], ids=["steady", "burst after idle"]
+)
 @pytest.mark.parametrize("gateways", [3, 20, 30, 230])
-def test_all_gateways_together_keep_to_what_a_cold_server_bears(gateways, load):
+def test_all_gateways_together_do_not_overload_a_server_in_slow_start(gateways, load):
     world = ColdStart(gateways, seed=gateways, load=load)
     world.play(nothing)
     assert world.excess() <= 0
-    assert world.cold_attempts()  # it is used
+    assert world.cold_attempts()  # the server gets requests at all
 
 
-def test_gateways_that_are_left_with_a_cold_server_keep_to_what_it_bears():
+def test_losing_the_other_servers_does_not_overload_a_server_in_slow_start():
     excess = {}
     for gateways in (20, 30, 230):
         for trouble in (others_gone, few_left):
@@ -39,7 +46,7 @@
     assert max(excess.values()) <= 0, excess
 
 
-def test_gateways_that_start_anew_keep_to_what_a_cold_server_bears():
+def test_restarted_gateways_do_not_overload_a_server_in_slow_start():
     excess = {}
     for gateways in (20, 30, 230):
         world = ColdStart(gateways, seed=gateways)
@@ -48,7 +55,7 @@
     assert max(excess.values()) <= 0, excess
 
 
-def test_what_a_cold_server_bears_is_counted_in_work():
+def test_slow_start_limit_is_measured_in_work():
     excess = {}
     for gateways in (20, 230):
         world = ColdStart(
