--- a/calicomast/servers.py
+++ b/calicomast/servers.py
@@ -360,9 +360,9 @@
         return size * self.detector.health_weight(server.info.id, levels, now)
 
     def slow_start_traffic_share(self, server: ServerState, now: float) -> float:
-        """Returns the traffic that this gateway gives to a server in slow start, relative to a warm server.
+        """Returns the traffic of this gateway to a server in slow start, relative to one after slow start.
 
-        If fewer gateways have a slot there than have a warm server in their subset, each of them sends more.
+        If fewer gateways have a slot there than have another server in their subset, each of them sends more.
         """
         weight = server.slow_start_weight(now, self.settings.rules)
         if server.slow_start is None or weight == 1.0:
--- a/calicomast/slow_start.py
+++ b/calicomast/slow_start.py
@@ -6,8 +6,8 @@
 the gateways in its first positions may send, each once per budget window. No state is kept that a restart
 of a gateway could lose or duplicate.
 
-Trade-off: a server may stay idle although a gateway without a slot could use it. This fades as the server
-warms up and the budget grows.
+Trade-off: a server may stay idle although a gateway without a slot could use it. The effect decreases as the
+budget grows during slow start.
 """
 
 from __future__ import annotations
