--- a/calicomast/failure_detector.py
+++ b/calicomast/failure_detector.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from calicomast.quota import GAIN
+from calicomast.quota import EWMA_WEIGHT
 
 # Half-life, in seconds, of the deviation of an estimate from that of the fleet. Its decay lets a server that
 # failed be tried again.
@@ -75,7 +75,7 @@
                 )
             self.estimates.setdefault(server, {})[level] = (estimate, now)
             self.fleet_estimates[level] = min(
-                MAX_FLEET_ESTIMATE, max(MIN_FLEET_ESTIMATE, fleet + GAIN * (estimate - fleet))
+                MAX_FLEET_ESTIMATE, max(MIN_FLEET_ESTIMATE, fleet + EWMA_WEIGHT * (estimate - fleet))
             )
 
     def forget(self, server: str) -> None:
--- a/calicomast/membership.py
+++ b/calicomast/membership.py
@@ -48,7 +48,7 @@
     """
 
     def __init__(self, index: int, gateways: int, track_cells: bool) -> None:
-        self.servers: dict[str, api.Host] = {}
+        self.servers: dict[str, api.Server] = {}
         self.up_count = 0
         self.view: list[tuple[float, str]] = []
         self.ids_by_cell: dict[int, dict[str, None]] | None = {} if track_cells else None
@@ -88,7 +88,7 @@
         """Returns whether a server id is up and in view."""
         return self._is_up(server) and (not self.has_partial_view or self.rank(server) <= self.max_view_rank)
 
-    def apply(self, info: api.Host) -> None:
+    def apply(self, info: api.Server) -> None:
         """Applies the listed state of one server."""
         old = self.servers.get(info.id)
         was_up, is_up = old is not None and old.state == "up", info.state == "up"
@@ -112,7 +112,7 @@
             del self.view[bisect.bisect_left(self.view, ranked)]
             self._start_rebuild_if_needed()
 
-    def missing_from(self, listed_ids: set[str]) -> list[api.Host]:
+    def missing_from(self, listed_ids: set[str]) -> list[api.Server]:
         """Returns the stored servers that a complete list with these ids no longer names."""
         return [info for server, info in self.servers.items() if server not in listed_ids]
 
@@ -179,7 +179,7 @@
         info = self.servers.get(server)
         return info is not None and info.state == "up"
 
-    def _update_cell(self, old: api.Host | None, info: api.Host) -> None:
+    def _update_cell(self, old: api.Server | None, info: api.Server) -> None:
         """Moves a server to its listed cell in the index of cells, or removes it if it is down."""
         assert self.ids_by_cell is not None
         if old is not None and (old.cell != info.cell or info.state == "down"):
--- a/calicomast/servers.py
+++ b/calicomast/servers.py
@@ -15,7 +15,7 @@
 from calicomast import interface as api
 from calicomast.failure_detector import FailureDetector
 from calicomast.membership import Membership
-from calicomast.quota import GAIN, QUICK
+from calicomast.quota import EWMA_WEIGHT, FAST_EWMA_WEIGHT
 from calicomast.slow_start import SlowStartAdmission
 
 TICK = 0.02  # seconds; granularity of checks on queued and hedged requests, far below any latency target
@@ -56,7 +56,7 @@
         slow_start: its slow-start admission; None if it started long ago.
     """
 
-    def __init__(self, info: api.Host, rounding: float, in_flight: dict) -> None:
+    def __init__(self, info: api.Server, rounding: float, in_flight: dict) -> None:
         self.info, self.up, self.in_flight = info, info.state == "up", in_flight
         self.other_load = 0.0
         self.other_load_at = -math.inf
@@ -92,9 +92,14 @@
 
     def slow_start_weight(self, now: float, rules: api.Rules) -> float:
         """Returns the fraction of its capacity that the server has; 1 after slow start."""
-        age = max(0.0, now - self.info.started)
-        is_starting = 0 < self.info.started and age < rules.cold_time
-        return rules.cold_share + (1 - rules.cold_share) * age / rules.cold_time if is_starting else 1.0
+        age = max(0.0, now - self.info.started_at)
+        is_starting = 0 < self.info.started_at and age < rules.slow_start_duration
+        return (
+            rules.slow_start_initial_share
+            + (1 - rules.slow_start_initial_share) * age / rules.slow_start_duration
+            if is_starting
+            else 1.0
+        )
 
 
 class LoadBalancer:
@@ -129,7 +134,7 @@
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self.settings, self.rng, self.detector = settings, rng, FailureDetector()
         self.servers: dict[str, ServerState] = {}
-        track_cells = any(c.effect == "keyed" and c.scope == "cell" for c in settings.classes.values())
+        track_cells = any(c.effect == "keyed" and c.dedup_scope == "cell" for c in settings.classes.values())
         self.membership = Membership(settings.index, settings.gateways, track_cells)
         self.removed_at: dict[str, float] = {}
         self._up_servers: list[ServerState] = []
@@ -138,7 +143,7 @@
         self.is_stale = False
         self.now = 0.0
         self.server_attempt_limit = max(1.0, MAX_ATTEMPTS_PER_SERVER / settings.gateways)
-        self.mean_latency = {c.name: min(c.aim / 5, c.deadline) for c in settings.classes.values()}
+        self.mean_latency = {c.name: min(c.latency_target / 5, c.deadline) for c in settings.classes.values()}
         self.latency_deviation = dict(self.mean_latency)
         self.answer_counts = dict.fromkeys(self.mean_latency, 0)
         self.last_send_rate = 0.0
@@ -165,22 +170,22 @@
         self.refresh()
         return self._subset
 
-    def apply_server_list(self, now: float, event: api.HostList) -> None:
+    def apply_server_list(self, now: float, event: api.ServerListUpdate) -> None:
         """Applies a server list from discovery, complete or with changes only."""
         if event.mode not in ("delta", "failed"):
-            for info in self.membership.missing_from({h.id for h in event.hosts}):
+            for info in self.membership.missing_from({h.id for h in event.servers}):
                 self.apply_server(now, dataclasses.replace(info, state="down"))
-        for info in event.hosts:
+        for info in event.servers:
             self.apply_server(now, info)
         self.drop_removed_servers(now)
 
-    def apply_server(self, now: float, info: api.Host) -> None:
+    def apply_server(self, now: float, info: api.Server) -> None:
         """Applies the listed state of one server; only servers that this gateway uses get a ServerState."""
         self.membership.apply(info)
         old = self.servers.get(info.id)
         if old is None and not (info.id in self.membership or self.has_slow_start_slot(info, now)):
             return
-        if old is None or (info.state == "up" and info.started > old.info.started):
+        if old is None or (info.state == "up" and info.started_at > old.info.started_at):
             self.servers[info.id] = self.new_state(info, old.in_flight if old else {})
         else:
             old.info, old.up = info, info.state == "up"
@@ -190,20 +195,20 @@
             self.removed_at.setdefault(info.id, now)
         self.is_stale = True
 
-    def has_slow_start_slot(self, info: api.Host, now: float) -> bool:
+    def has_slow_start_slot(self, info: api.Server, now: float) -> bool:
         """Returns whether this gateway may send to a server outside of its view during its slow start."""
-        age = now - info.started
-        if info.state != "up" or not info.started or age >= self.settings.rules.cold_time:
+        age = now - info.started_at
+        if info.state != "up" or not info.started_at or age >= self.settings.rules.slow_start_duration:
             return False
         admission = SlowStartAdmission(info, self.settings.index, self.settings.gateways, self.settings.rules)
         return admission.position < admission.budget(
             1.0, SERVER_CONCURRENCY / max(self.mean_service_time, MIN_SERVICE_TIME)
         )
 
-    def new_state(self, info: api.Host, in_flight: dict) -> ServerState:
+    def new_state(self, info: api.Server, in_flight: dict) -> ServerState:
         """Creates the state of a server, with its slow-start admission unless it started long ago (0)."""
         server = ServerState(info, self.rng.random(), in_flight)
-        if info.started > 0:
+        if info.started_at > 0:
             server.slow_start = SlowStartAdmission(
                 info, self.settings.index, self.settings.gateways, self.settings.rules
             )
@@ -257,7 +262,7 @@
             if server_id not in self.servers:
                 self.servers[server_id] = self.new_state(self.membership.servers[server_id], {})
 
-    def server_info(self, server_id: str) -> api.Host | None:
+    def server_info(self, server_id: str) -> api.Server | None:
         """Returns a server as it was last listed; None if it was removed long ago."""
         server = self.servers.get(server_id)
         return server.info if server is not None else self.membership.servers.get(server_id)
@@ -337,7 +342,7 @@
         # The budget window that ends now began when the server had less capacity.
         return (
             server.slow_start.remaining(
-                now, server.slow_start_weight(now - rules.fall_time, rules), self.capacity(server)
+                now, server.slow_start_weight(now - rules.overload_window, rules), self.capacity(server)
             )
             >= charge
         )
@@ -347,7 +352,11 @@
 
         Latency includes time in the server's queue, so the estimate is too low rather than too high.
         """
-        size = server.info.weight / self.max_weight if self.settings.weights in CAPACITY_WEIGHT_MODES else 1.0
+        size = (
+            server.info.weight / self.max_weight
+            if self.settings.weight_meaning in CAPACITY_WEIGHT_MODES
+            else 1.0
+        )
         return size * SERVER_CONCURRENCY / max(self.mean_service_time, MIN_SERVICE_TIME)
 
     def has_capacity(self, now: float) -> bool:
@@ -464,7 +473,7 @@
         rules = self.settings.rules
         if server.slow_start is None or server.slow_start_weight(now, rules) == 1.0:
             return True
-        weight = server.slow_start_weight(now - rules.fall_time, rules)
+        weight = server.slow_start_weight(now - rules.overload_window, rules)
         return server.slow_start.readmit(now, charge, key, weight, self.capacity(server))
 
     def record_local_error(self, now: float) -> None:
@@ -485,39 +494,41 @@
 
         `cls` is the class of the request, None if the request has already ended.
         """
-        server = self.servers.get(event.host)
+        server = self.servers.get(event.server)
         if server is None:  # removed so long ago that its outcomes no longer matter
             return
         in_flight, is_congested = len(server.in_flight), event.result == "timeout"
         self.attempts_in_flight -= server.in_flight.pop((event.id, event.attempt), None) is not None
-        if event.result != "moot" and event.result not in api.NEVER_BEGAN:
+        if event.result != "moot" and event.result not in api.NOT_STARTED_RESULTS:
             self.local_errors = 0
         if event.report:
             load = event.report.get("inflight")
             if load is None:
                 load = event.report.get("queue", 0.0) + SERVER_CONCURRENCY * event.report.get("util", 0.0)
             server.other_load, server.other_load_at = max(0.0, load - in_flight), now
-            self.mean_reported_load += (QUICK if self.has_load_reports else 1.0) * (
+            self.mean_reported_load += (FAST_EWMA_WEIGHT if self.has_load_reports else 1.0) * (
                 load - self.mean_reported_load
             )
             self.has_load_reports, is_congested = True, load > CONGESTED_LOAD
         if event.result in ("connect_failed", "full", "error", "reset", "ok"):
             affected = levels[:1] if event.result == "connect_failed" else levels
-            self.detector.record(event.host, affected, event.result != "ok", now)
+            self.detector.record(event.server, affected, event.result != "ok", now)
             server.record_result(now, affected[:2], event.result == "ok")
         if event.report or event.result in ("ok", "timeout"):
-            gain = max(QUICK / 2, 1 - math.exp((self.last_answer_at - now) / CONGESTION_TIME_CONSTANT))
+            gain = max(
+                FAST_EWMA_WEIGHT / 2, 1 - math.exp((self.last_answer_at - now) / CONGESTION_TIME_CONSTANT)
+            )
             self.congested_share, self.last_answer_at = (
                 self.congested_share + min(gain, 0.5) * (is_congested - self.congested_share),
                 now,
             )
         if event.result != "ok" or cls is None:
             return
-        server.latency_ratio += QUICK * (
+        server.latency_ratio += FAST_EWMA_WEIGHT * (
             min(event.elapsed / max(self.mean_latency[cls.name], 1e-6), 10.0) - server.latency_ratio
         )
         self.answer_counts[cls.name] += 1
-        gain = max(1 / self.answer_counts[cls.name], GAIN)
+        gain = max(1 / self.answer_counts[cls.name], EWMA_WEIGHT)
         deviation = event.elapsed - self.mean_latency[cls.name]
         self.mean_latency[cls.name] += gain * deviation
         self.mean_service_time += gain * (event.elapsed - self.mean_service_time)
--- a/calicomast/slow_start.py
+++ b/calicomast/slow_start.py
@@ -58,8 +58,8 @@
 
     __slots__ = ("position", "gateways", "rules", "sent")
 
-    def __init__(self, host: api.Host, index: int, gateways: int, rules: api.Rules) -> None:
-        self.position = gateway_position(host.id, host.started, index, gateways)
+    def __init__(self, host: api.Server, index: int, gateways: int, rules: api.Rules) -> None:
+        self.position = gateway_position(host.id, host.started_at, index, gateways)
         self.gateways, self.rules = gateways, rules
         self.sent: dict[tuple[str, int], tuple[float, float]] = {}
 
@@ -69,7 +69,10 @@
         `weight` is the slow-start weight of the server, `capacity` the requests of mean work per second that
         it serves after slow start.
         """
-        return max(1.0, BUDGET_FRACTION * self.rules.fall_multiple * weight * capacity * self.rules.fall_time)
+        return max(
+            1.0,
+            BUDGET_FRACTION * self.rules.overload_multiple * weight * capacity * self.rules.overload_window,
+        )
 
     def remaining(self, now: float, weight: float, capacity: float) -> float:
         """Returns the charge that this gateway may still send now.
@@ -80,7 +83,7 @@
         budget = self.budget(weight, capacity)
         share = int(budget / self.gateways) + (self.position < budget % self.gateways)
         if self.sent:
-            window_start = now - self.rules.fall_time
+            window_start = now - self.rules.overload_window
             self.sent = {key: entry for key, entry in self.sent.items() if entry[0] > window_start}
         return share - sum(charge for _, charge in self.sent.values())
 
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -13,8 +13,17 @@
 from typing import Any
 
 from calicomast import quota, servers, slow_start
-from calicomast.net import clients, discovery, gateway, hosts, invariants, program, requests, server_table
-from calicomast.net.__main__ import Hangups
+from calicomast.net import (
+    clients,
+    discovery,
+    gateway,
+    invariants,
+    program,
+    requests,
+    server_connections,
+    server_table,
+)
+from calicomast.net.__main__ import SighupCounter
 
 LATE = 0.4  # seconds by which an attempt is held back where its client may have left
 PAST_WINDOW = 2.3  # seconds after which a keyed request is sent again
@@ -30,61 +39,65 @@
     asyncio.get_running_loop().call_later(seconds, what, *told)
 
 
-def after_start(what: Callable[[gateway.GatewayNode], None]) -> None:
+def after_start(what: Callable[[gateway.GatewayService], None]) -> None:
     """Does something once a gateway starts."""
-    start = gateway.GatewayNode.start
+    start = gateway.GatewayService.start
 
-    async def started(node: gateway.GatewayNode) -> None:
+    async def started(node: gateway.GatewayService) -> None:
         await start(node)
         what(node)
 
-    gateway.GatewayNode.start = started  # type: ignore[method-assign]
+    gateway.GatewayService.start = started  # type: ignore[method-assign]
 
 
 def one_answer() -> None:
     """Some requests get no answer."""
-    finish, count = gateway.GatewayNode.finish, [0]
+    finish, count = gateway.GatewayService.finish_request, [0]
 
-    def silent(node: gateway.GatewayNode, work: requests.Work, answer: bytes) -> None:
+    def silent(node: gateway.GatewayService, work: requests.ActiveRequest, answer: bytes) -> None:
         count[0] += 1
         finish(node, work, b"" if count[0] % EVERY == 0 else answer)
 
-    gateway.GatewayNode.finish = silent  # type: ignore[method-assign]
+    gateway.GatewayService.finish_request = silent  # type: ignore[method-assign]
 
 
 def right_answer() -> None:
     """What is served is not what the server made."""
-    gateway.bulk = lambda data: requests.bulk(data + b"-not")  # type: ignore[assignment]
+    gateway.encode_bulk_string = lambda data: requests.encode_bulk_string(data + b"-not")  # type: ignore[assignment]
 
 
 def hold_back(seconds: float) -> None:
     """Attempts go out late, and nobody asks again whether they may."""
-    send = hosts.Hosts.send
+    send = server_connections.ServerConnections.send
 
-    def late(self: hosts.Hosts, attempt: hosts.Attempt, timeout: float) -> None:
+    def late(
+        self: server_connections.ServerConnections, attempt: server_connections.Attempt, timeout: float
+    ) -> None:
         def go() -> None:
             if not attempt.result:
-                attempt.judged = True
+                attempt.permitted = True
                 send(self, attempt, timeout)
 
         later(seconds, go)
 
-    hosts.Hosts.send = late  # type: ignore[method-assign]
+    server_connections.ServerConnections.send = late  # type: ignore[method-assign]
 
 
 def send_again(seconds: float) -> None:
     """What was served goes to its server once more after so many seconds."""
-    done = gateway.GatewayNode.attempt_done
+    done = gateway.GatewayService.attempt_done
 
-    def again(node: gateway.GatewayNode, attempt: hosts.Attempt) -> None:
+    def again(node: gateway.GatewayService, attempt: server_connections.Attempt) -> None:
         work, _ = attempt.tag
         done(node, attempt)
         if attempt.result == "ok":
-            payload = work.payload(1.0)
-            second = hosts.Attempt(attempt.host, lambda _: payload, lambda _: None, hosts.PROBE)
-            later(seconds, node.hosts.send, second, 1.0)
+            payload = work.encode_command(1.0)
+            second = server_connections.Attempt(
+                attempt.server, lambda _: payload, lambda _: None, server_connections.PROBE_TAG
+            )
+            later(seconds, node.server_connections.send, second, 1.0)
 
-    gateway.GatewayNode.attempt_done = again  # type: ignore[method-assign]
+    gateway.GatewayService.attempt_done = again  # type: ignore[method-assign]
 
 
 def runs_once() -> None:
@@ -99,8 +112,8 @@
 
 def nothing_after_leaving() -> None:
     """A client that left is not noticed."""
-    clients.Client.has_left = lambda self: False  # type: ignore[method-assign]
-    gateway.GatewayNode.gone = lambda self, slot: None  # type: ignore[method-assign]
+    clients.ClientConnection.peer_has_closed = lambda self: False  # type: ignore[method-assign]
+    gateway.GatewayService.handle_client_gone = lambda self, slot: None  # type: ignore[method-assign]
     hold_back(LATE)
 
 
@@ -111,45 +124,45 @@
 
 def deadline_told() -> None:
     """Servers are told a second more than there is."""
-    payload = requests.Work.payload
-    requests.Work.payload = lambda self, left: payload(self, left + 1.0)  # type: ignore[method-assign]
+    payload = requests.ActiveRequest.encode_command
+    requests.ActiveRequest.encode_command = lambda self, left: payload(self, left + 1.0)  # type: ignore[method-assign]
 
 
 def drained_servers_rest() -> None:
     """Drains and removals are not heard."""
-    take = server_table.ServerTable.take
+    take = server_table.ServerTable.apply
 
     def deaf(self: server_table.ServerTable, listing: Any) -> Any:
-        listing.entries = [entry for entry in listing.entries if entry.host.state == "up"]
+        listing.entries = [entry for entry in listing.entries if entry.server.state == "up"]
         listing.mode = "delta"
         return take(self, listing)
 
-    server_table.ServerTable.take = deaf  # type: ignore[method-assign]
+    server_table.ServerTable.apply = deaf  # type: ignore[method-assign]
 
 
 def changes_are_heard() -> None:
     """Discovery is never asked."""
-    discovery.Discovery.watch = lambda self, on: None  # type: ignore[method-assign]
+    discovery.DiscoveryClient.watch = lambda self, on: None  # type: ignore[method-assign]
 
 
 def cold_servers_stand() -> None:
     """The server that started last gets all requests at once."""
     slow_start.SlowStartAdmission.remaining = lambda *told: 1e9  # type: ignore[method-assign]
     servers.LoadBalancer.best_server = (  # type: ignore[method-assign]
-        lambda self, now, keys, pool, charge: max(pool, key=lambda s: s.info.started, default=None)
+        lambda self, now, keys, pool, charge: max(pool, key=lambda s: s.info.started_at, default=None)
     )
 
 
 def quotas_hold() -> None:
     """No account is ever spent."""
-    quota.Account.room = lambda self, now: 1e9  # type: ignore[method-assign]
-    quota.Account.allowance = lambda self, now, silent: 1e9  # type: ignore[method-assign]
+    quota.TenantQuota.available_units = lambda self, now: 1e9  # type: ignore[method-assign]
+    quota.TenantQuota.local_allowance = lambda self, now, silent: 1e9  # type: ignore[method-assign]
 
 
 def bad_clients_are_answered() -> None:
     """Nobody looks at connections that are idle or have half a command."""
-    clients.Client.expire = lambda self: None  # type: ignore[method-assign]
-    clients.Client.expire_half = lambda self, seconds: None  # type: ignore[method-assign]
+    clients.ClientConnection.on_idle_timeout = lambda self: None  # type: ignore[method-assign]
+    clients.ClientConnection.expire_partial_command = lambda self, seconds: None  # type: ignore[method-assign]
 
 
 def processes_live() -> None:
@@ -171,12 +184,12 @@
 def own_checks_hold() -> None:
     """A run-time check finds something."""
     found = invariants.Invariant.SECOND_ANSWER
-    after_start(lambda node: later(AFTER, invariants.MONITOR.violated, found, "on purpose"))
+    after_start(lambda node: later(AFTER, invariants.MONITOR.record_violation, found, "on purpose"))
 
 
 def commands_are_sound() -> None:
     """Servers get what no client sent."""
-    requests.Work.payload = lambda self, left: b"GET / HTTP/1.1\r\n\r\n"  # type: ignore[method-assign]
+    requests.ActiveRequest.encode_command = lambda self, left: b"GET / HTTP/1.1\r\n\r\n"  # type: ignore[method-assign]
 
 
 BREAKS: dict[str, Callable[[], None]] = {
@@ -202,6 +215,6 @@
 }
 
 if __name__ == "__main__":
-    hangups = Hangups()
+    hangups = SighupCounter()
     BREAKS[sys.argv[1]]()
     sys.exit(program.main(hangups))
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -5,7 +5,7 @@
 """
 
 import pytest
-from helpers import plan
+from helpers import make_plan
 
 from emulator.scenarios.cold_start import (
     STARTED_AT,
@@ -61,7 +61,7 @@
         world = ColdStart(
             gateways,
             seed=1,
-            plan=plan(rate=1e6, burst=4e6),
+            plan=make_plan(rate=1e6, burst=4e6),
             most_units=8.0,
             units=lambda generator: 8.0 if generator.random() < 0.1 else 0.5,
         )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,19 +4,19 @@
 from collections import Counter
 
 import pytest
-from helpers import CELL, World, host, of, plan, settings
+from helpers import CELL_WRITE, GatewayHarness, actions_of, make_plan, make_server, make_settings
 
 from calicomast import interface as api
 from calicomast.membership import MIN_VIEW_SIZE, REBUILD_BATCH_SIZE, Membership
 from emulator.deployment import Deployment
 from emulator.measure import executed_lines
 
-LARGE_QUOTA = plan(rate=1000.0, burst=4000.0)
+LARGE_QUOTA = make_plan(rate=1000.0, burst=4000.0)
 
 
 def server_list(count, first=0):
     """Returns `count` servers that are up, four per cell, numbered from `first`."""
-    return [host(f"h{n}", cell=n // 4) for n in range(first, first + count)]
+    return [make_server(f"h{n}", cell=n // 4) for n in range(first, first + count)]
 
 
 def build_membership(index, gateways, servers, track_cells=False):
@@ -34,8 +34,8 @@
 
 def build_world(servers, gateways=400, classes=None, index=0):
     """Returns a scripted world of one gateway out of `gateways`."""
-    configuration = settings(plans=[LARGE_QUOTA], gateways=gateways, index=index)
-    return World(configuration, servers, seed=index)
+    configuration = make_settings(plans=[LARGE_QUOTA], gateways=gateways, index=index)
+    return GatewayHarness(configuration, servers, seed=index)
 
 
 @pytest.mark.parametrize("gateways", [11, 33, 80, 200])
@@ -69,7 +69,7 @@
     for _ in range(20_000):
         name = f"h{generator.randrange(6000)}"
         state = generator.choice(("up", "up", "up", "leaving", "down"))
-        server = host(name, cell=generator.randrange(50), state=state)
+        server = make_server(name, cell=generator.randrange(50), state=state)
         listed[name] = server
         members.apply(server)
         members.continue_rebuild()
@@ -88,38 +88,40 @@
 def test_view_that_lost_most_servers_is_rebuilt_in_bounded_steps():
     servers = server_list(20_000)
     world = build_world(servers)
-    removed = sorted(servers, key=lambda server: world.gw.balancer.membership.rank(server.id))[:4000]
+    removed = sorted(servers, key=lambda server: world.gateway.balancer.membership.rank(server.id))[:4000]
     for start in range(0, len(removed), 100):
-        hosts = tuple(host(server.id, state="down") for server in removed[start : start + 100])
-        world.do(api.HostList("delta", 2, hosts))
-    members = world.gw.balancer.membership
+        hosts = tuple(make_server(server.id, state="down") for server in removed[start : start + 100])
+        world.handle(api.ServerListUpdate("delta", 2, hosts))
+    members = world.gateway.balancer.membership
     assert members.is_rebuilding and len(members.view) < MIN_VIEW_SIZE // 2
-    name, actions = world.ask()
-    assert of(actions, api.Send) or members.view == []
-    assert of(
-        world.log and [action for _, action in world.log], api.SetTimer
+    name, actions = world.send_request()
+    assert actions_of(actions, api.Send) or members.view == []
+    assert actions_of(
+        world.action_log and [action for _, action in world.action_log], api.SetTimer
     )  # continues without other events
     steps = 0
     while members.is_rebuilding:
-        lines = executed_lines(lambda: world.do(api.Timer(0)))
+        lines = executed_lines(lambda: world.handle(api.TimerExpired(0)))
         steps += 1
         assert lines < 20 * max(
             REBUILD_BATCH_SIZE, 2 * MIN_VIEW_SIZE
         )  # independent of the length of the list
     assert steps >= 5 and len(members.view) >= MIN_VIEW_SIZE
-    assert len(world.gw.balancer.subset) == members.subset_size
-    assert world.ask()[1]
+    assert len(world.gateway.balancer.subset) == members.subset_size
+    assert world.send_request()[1]
 
 
 def change_lines(servers, gateways=3300):
     """Returns the mean number of Python lines executed for one change of the server list."""
     deployment = Deployment(gateways, servers)
-    world = World(deployment.settings(0), deployment.hosts())
+    world = GatewayHarness(deployment.settings(0), deployment.hosts())
     step = max(1, servers // 60)
     numbers = range(0, servers, step)
     changes = [(deployment.host(n, state),) for state in ("leaving", "up") for n in numbers]
-    updates = [api.HostList("delta", 2, hosts) for hosts in changes]
-    return executed_lines(lambda: [world.gw.handle(world.now, update) for update in updates]) / len(updates)
+    updates = [api.ServerListUpdate("delta", 2, hosts) for hosts in changes]
+    return executed_lines(lambda: [world.gateway.handle(world.now, update) for update in updates]) / len(
+        updates
+    )
 
 
 def test_cost_of_one_change_does_not_grow_with_the_list():
@@ -131,52 +133,57 @@
     world = build_world(server_list(12_000), gateways=3300)
     used = set()
     for _ in range(100):
-        for send in of(world.ask()[1], api.Send):
-            used.add(send.host)
-            world.end(send)
+        for send in actions_of(world.send_request()[1], api.Send):
+            used.add(send.server)
+            world.finish_attempt(send)
     assert (
-        len(world.gw.balancer.membership.servers) == 12_000
-        and world.gw.balancer.membership.up_count == 12_000
+        len(world.gateway.balancer.membership.servers) == 12_000
+        and world.gateway.balancer.membership.up_count == 12_000
     )
-    assert len(world.gw.balancer.servers) <= 2 * MIN_VIEW_SIZE
-    assert used <= {server.info.id for server in world.gw.balancer.subset}
-    assert len(world.gw.balancer.subset) == 37  # 10 x 12000 / 3300, rounded up
+    assert len(world.gateway.balancer.servers) <= 2 * MIN_VIEW_SIZE
+    assert used <= {server.info.id for server in world.gateway.balancer.subset}
+    assert len(world.gateway.balancer.subset) == 37  # 10 x 12000 / 3300, rounded up
 
 
 def test_change_of_one_server_leaves_the_rest_of_the_subset():
     world = build_world(server_list(12_000))
-    before = [server.info.id for server in world.gw.balancer.subset]
-    other = next(n for n in world.gw.balancer.membership.servers if n not in world.gw.balancer.servers)
-    world.do(api.HostList("delta", 2, (host(other, state="leaving"),)))
-    assert [server.info.id for server in world.gw.balancer.subset] == before
-    world.do(api.HostList("delta", 3, (host(before[0], state="leaving"),)))
-    after = [server.info.id for server in world.gw.balancer.subset]
+    before = [server.info.id for server in world.gateway.balancer.subset]
+    other = next(
+        n for n in world.gateway.balancer.membership.servers if n not in world.gateway.balancer.servers
+    )
+    world.handle(api.ServerListUpdate("delta", 2, (make_server(other, state="leaving"),)))
+    assert [server.info.id for server in world.gateway.balancer.subset] == before
+    world.handle(api.ServerListUpdate("delta", 3, (make_server(before[0], state="leaving"),)))
+    after = [server.info.id for server in world.gateway.balancer.subset]
     assert after[:-1] == before[1:] and after[-1] not in before
 
 
 def test_server_outside_the_view_keeps_its_state_while_an_attempt_is_in_flight():
     world = build_world(server_list(3000))
-    (send,) = of(world.ask()[1], api.Send)
-    world.do(api.HostList("delta", 2, tuple(server_list(9000, 3000))))  # many of them rank before it
-    assert world.gw.balancer.membership.has_partial_view and world.gw.balancer.subset
-    assert send.host in world.gw.balancer.servers and world.gw.balancer.attempts_in_flight == 1
-    world.end(send)
-    assert world.gw.balancer.attempts_in_flight == 0
+    (send,) = actions_of(world.send_request()[1], api.Send)
+    world.handle(
+        api.ServerListUpdate("delta", 2, tuple(server_list(9000, 3000)))
+    )  # many of them rank before it
+    assert world.gateway.balancer.membership.has_partial_view and world.gateway.balancer.subset
+    assert send.server in world.gateway.balancer.servers and world.gateway.balancer.attempts_in_flight == 1
+    world.finish_attempt(send)
+    assert world.gateway.balancer.attempts_in_flight == 0
 
 
 def test_retry_bound_to_a_cell_uses_servers_outside_the_view():
     world = build_world(server_list(12_000))
     retries = 0
     for _ in range(12):
-        (first,) = of(world.ask(cls=CELL.name)[1], api.Send)
-        retry_sends = of(world.end(first, "reset"), api.Send)
+        (first,) = actions_of(world.send_request(service_class=CELL_WRITE.name)[1], api.Send)
+        retry_sends = actions_of(world.finish_attempt(first, "reset"), api.Send)
         for second in retry_sends:
-            cell = world.gw.balancer.membership.servers[first.host].cell
+            cell = world.gateway.balancer.membership.servers[first.server].cell
             assert (
-                second.host != first.host and world.gw.balancer.membership.servers[second.host].cell == cell
+                second.server != first.server
+                and world.gateway.balancer.membership.servers[second.server].cell == cell
             )
             retries += 1
-            world.end(second)
+            world.finish_attempt(second)
     assert retries > 0
 
 
@@ -185,54 +192,59 @@
     used = 0
     for index in range(6):
         world = build_world(servers, gateways=6 * 100, index=index)
-        world.ask()
-        outside = [n for n in world.gw.balancer.membership.servers if n not in world.gw.balancer.membership][
-            :400
-        ]
-        world.do(api.HostList("delta", 2, tuple(host(n, started=world.now) for n in outside)))
-        admitted = [n for n in outside if n in world.gw.balancer.servers]
+        world.send_request()
+        outside = [
+            n for n in world.gateway.balancer.membership.servers if n not in world.gateway.balancer.membership
+        ][:400]
+        world.handle(
+            api.ServerListUpdate("delta", 2, tuple(make_server(n, started_at=world.now) for n in outside))
+        )
+        admitted = [n for n in outside if n in world.gateway.balancer.servers]
         assert len(admitted) < 40  # of 400, because few gateways have a slot at each
         used += len(admitted)
-        assert all(world.gw.balancer.servers[n].slow_start is not None for n in admitted)
+        assert all(world.gateway.balancer.servers[n].slow_start is not None for n in admitted)
         world.now += 30.0  # slow start is over
-        world.do(api.HostList("delta", 3, (host("h0", state="leaving"),)))
-        world.ask()
+        world.handle(api.ServerListUpdate("delta", 3, (make_server("h0", state="leaving"),)))
+        world.send_request()
     assert used > 0
 
 
 def test_servers_that_enter_the_view_of_a_shrinking_list_get_state():
     world = build_world(server_list(9000), gateways=400)
-    world.ask()
+    world.send_request()
     for count in (5000, 1200, 400):
         kept = server_list(9000)[9000 - count :]
-        world.do(api.HostList("full", 2, tuple(kept)))
+        world.handle(api.ServerListUpdate("full", 2, tuple(kept)))
         for _ in range(40):
-            world.do(api.Timer(0))
-        (send,) = of(world.ask()[1], api.Send)
-        assert send.host in {server.id for server in kept} and len(world.gw.balancer.subset) == max(
+            world.handle(api.TimerExpired(0))
+        (send,) = actions_of(world.send_request()[1], api.Send)
+        assert send.server in {server.id for server in kept} and len(world.gateway.balancer.subset) == max(
             8, -(-count // 40)
         )
-        world.end(send)
-    assert {server.info.id for server in world.gw.balancer.up_servers} == {server.id for server in kept}
+        world.finish_attempt(send)
+    assert {server.info.id for server in world.gateway.balancer.up_servers} == {server.id for server in kept}
 
 
 def test_list_shorter_than_the_view_is_entirely_in_view():
     world = build_world(server_list(9000))
-    world.do(api.HostList("full", 2, tuple(server_list(50))))
+    world.handle(api.ServerListUpdate("full", 2, tuple(server_list(50))))
     for _ in range(40):
-        world.do(api.Timer(0))
-    assert {server.info.id for server in world.gw.balancer.up_servers} == {f"h{n}" for n in range(50)}
-    (send,) = of(world.ask()[1], api.Send)
-    assert send.host in {f"h{n}" for n in range(50)}
+        world.handle(api.TimerExpired(0))
+    assert {server.info.id for server in world.gateway.balancer.up_servers} == {f"h{n}" for n in range(50)}
+    (send,) = actions_of(world.send_request()[1], api.Send)
+    assert send.server in {f"h{n}" for n in range(50)}
 
 
 def retry_lines(servers, gateways=400):
     """Returns the number of Python lines executed for a retry after an attempt that was reset."""
     world = build_world(server_list(servers), gateways=gateways)
-    (send,) = of(world.ask()[1], api.Send)
-    world.gw.budget, sent = 5.0, []  # the initial budget of one gateway of many can be below one retry
-    lines = executed_lines(lambda: sent.extend(of(world.end(send, "reset"), api.Send)))
-    assert len(sent) == 1 and sent[0].host != send.host
+    (send,) = actions_of(world.send_request()[1], api.Send)
+    world.gateway.retry_budget, sent = (
+        5.0,
+        [],
+    )  # the initial budget of one gateway of many can be below one retry
+    lines = executed_lines(lambda: sent.extend(actions_of(world.finish_attempt(send, "reset"), api.Send)))
+    assert len(sent) == 1 and sent[0].server != send.server
     return lines
 
 
