--- a/calicomast/slow_start.py
+++ b/calicomast/slow_start.py
@@ -23,13 +23,13 @@
 MILLISECONDS = 1000.0  # per second; discovery reports start times in whole milliseconds
 
 
-def gateway_position(server: str, started: float, index: int, gateways: int) -> int:
+def gateway_position(server: str, started_at: float, index: int, gateways: int) -> int:
     """Returns the position, from 0, of gateway `index` among all gateways for one start of a server.
 
-    The order is an affine permutation of the gateway indexes that differs for each start. `started` is the
+    The order is an affine permutation of the gateway indexes that differs for each start. `started_at` is the
     clock time of the start in seconds.
     """
-    seed = stable_hash("cold", server, round(started * MILLISECONDS))
+    seed = stable_hash("cold", server, round(started_at * MILLISECONDS))
     step, shift = seed % gateways, seed // gateways % gateways
     while math.gcd(step, gateways) != 1:
         step += 1
@@ -52,14 +52,14 @@
     Attributes:
         position: position of this gateway in the order of all gateways for this start.
         gateways: number of gateways.
-        rules: settings with the window (`fall_time`, seconds) and the load that overloads a server.
+        rules: settings with the window (`overload_window`, seconds) and the load that overloads a server.
         sent: send time and charge of each attempt within the window, by request id and attempt number.
     """
 
     __slots__ = ("position", "gateways", "rules", "sent")
 
-    def __init__(self, host: api.Server, index: int, gateways: int, rules: api.Rules) -> None:
-        self.position = gateway_position(host.id, host.started_at, index, gateways)
+    def __init__(self, info: api.Server, index: int, gateways: int, rules: api.Rules) -> None:
+        self.position = gateway_position(info.id, info.started_at, index, gateways)
         self.gateways, self.rules = gateways, rules
         self.sent: dict[tuple[str, int], tuple[float, float]] = {}
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -32,8 +32,8 @@
     return [name for _, name in members.view[: members.subset_size]]
 
 
-def build_world(servers, gateways=400, classes=None, index=0):
-    """Returns a scripted world of one gateway out of `gateways`."""
+def build_harness(servers, gateways=400, classes=None, index=0):
+    """Returns a scripted harness around one gateway out of `gateways`."""
     configuration = make_settings(plans=[LARGE_QUOTA], gateways=gateways, index=index)
     return GatewayHarness(configuration, servers, seed=index)
 
@@ -87,39 +87,37 @@
 
 def test_view_that_lost_most_servers_is_rebuilt_in_bounded_steps():
     servers = server_list(20_000)
-    world = build_world(servers)
-    removed = sorted(servers, key=lambda server: world.gateway.balancer.membership.rank(server.id))[:4000]
+    harness = build_harness(servers)
+    removed = sorted(servers, key=lambda server: harness.gateway.balancer.membership.rank(server.id))[:4000]
     for start in range(0, len(removed), 100):
-        hosts = tuple(make_server(server.id, state="down") for server in removed[start : start + 100])
-        world.handle(api.ServerListUpdate("delta", 2, hosts))
-    members = world.gateway.balancer.membership
+        servers_down = tuple(make_server(server.id, state="down") for server in removed[start : start + 100])
+        harness.handle(api.ServerListUpdate("delta", 2, servers_down))
+    members = harness.gateway.balancer.membership
     assert members.is_rebuilding and len(members.view) < MIN_VIEW_SIZE // 2
-    name, actions = world.send_request()
+    name, actions = harness.send_request()
     assert actions_of(actions, api.Send) or members.view == []
-    assert actions_of(
-        world.action_log and [action for _, action in world.action_log], api.SetTimer
-    )  # continues without other events
+    # The timer continues the rebuild even if no other event arrives.
+    assert actions_of(harness.action_log and [action for _, action in harness.action_log], api.SetTimer)
     steps = 0
     while members.is_rebuilding:
-        lines = executed_lines(lambda: world.handle(api.TimerExpired(0)))
+        lines = executed_lines(lambda: harness.handle(api.TimerExpired(0)))
         steps += 1
-        assert lines < 20 * max(
-            REBUILD_BATCH_SIZE, 2 * MIN_VIEW_SIZE
-        )  # independent of the length of the list
+        # The bound does not depend on the length of the list.
+        assert lines < 20 * max(REBUILD_BATCH_SIZE, 2 * MIN_VIEW_SIZE)
     assert steps >= 5 and len(members.view) >= MIN_VIEW_SIZE
-    assert len(world.gateway.balancer.subset) == members.subset_size
-    assert world.send_request()[1]
+    assert len(harness.gateway.balancer.subset) == members.subset_size
+    assert harness.send_request()[1]
 
 
 def change_lines(servers, gateways=3300):
     """Returns the mean number of Python lines executed for one change of the server list."""
     deployment = Deployment(gateways, servers)
-    world = GatewayHarness(deployment.settings(0), deployment.hosts())
+    harness = GatewayHarness(deployment.settings(0), deployment.hosts())
     step = max(1, servers // 60)
     numbers = range(0, servers, step)
     changes = [(deployment.host(n, state),) for state in ("leaving", "up") for n in numbers]
-    updates = [api.ServerListUpdate("delta", 2, hosts) for hosts in changes]
-    return executed_lines(lambda: [world.gateway.handle(world.now, update) for update in updates]) / len(
+    updates = [api.ServerListUpdate("delta", 2, changed) for changed in changes]
+    return executed_lines(lambda: [harness.gateway.handle(harness.now, update) for update in updates]) / len(
         updates
     )
 
@@ -130,60 +128,61 @@
 
 
 def test_server_state_is_kept_only_for_servers_in_view():
-    world = build_world(server_list(12_000), gateways=3300)
+    harness = build_harness(server_list(12_000), gateways=3300)
     used = set()
     for _ in range(100):
-        for send in actions_of(world.send_request()[1], api.Send):
+        for send in actions_of(harness.send_request()[1], api.Send):
             used.add(send.server)
-            world.finish_attempt(send)
+            harness.finish_attempt(send)
     assert (
-        len(world.gateway.balancer.membership.servers) == 12_000
-        and world.gateway.balancer.membership.up_count == 12_000
+        len(harness.gateway.balancer.membership.servers) == 12_000
+        and harness.gateway.balancer.membership.up_count == 12_000
     )
-    assert len(world.gateway.balancer.servers) <= 2 * MIN_VIEW_SIZE
-    assert used <= {server.info.id for server in world.gateway.balancer.subset}
-    assert len(world.gateway.balancer.subset) == 37  # 10 x 12000 / 3300, rounded up
+    assert len(harness.gateway.balancer.servers) <= 2 * MIN_VIEW_SIZE
+    assert used <= {server.info.id for server in harness.gateway.balancer.subset}
+    assert len(harness.gateway.balancer.subset) == 37  # 10 x 12000 / 3300, rounded up
 
 
 def test_change_of_one_server_leaves_the_rest_of_the_subset():
-    world = build_world(server_list(12_000))
-    before = [server.info.id for server in world.gateway.balancer.subset]
+    harness = build_harness(server_list(12_000))
+    before = [server.info.id for server in harness.gateway.balancer.subset]
     other = next(
-        n for n in world.gateway.balancer.membership.servers if n not in world.gateway.balancer.servers
+        n for n in harness.gateway.balancer.membership.servers if n not in harness.gateway.balancer.servers
     )
-    world.handle(api.ServerListUpdate("delta", 2, (make_server(other, state="leaving"),)))
-    assert [server.info.id for server in world.gateway.balancer.subset] == before
-    world.handle(api.ServerListUpdate("delta", 3, (make_server(before[0], state="leaving"),)))
-    after = [server.info.id for server in world.gateway.balancer.subset]
+    harness.handle(api.ServerListUpdate("delta", 2, (make_server(other, state="leaving"),)))
+    assert [server.info.id for server in harness.gateway.balancer.subset] == before
+    harness.handle(api.ServerListUpdate("delta", 3, (make_server(before[0], state="leaving"),)))
+    after = [server.info.id for server in harness.gateway.balancer.subset]
     assert after[:-1] == before[1:] and after[-1] not in before
 
 
 def test_server_outside_the_view_keeps_its_state_while_an_attempt_is_in_flight():
-    world = build_world(server_list(3000))
-    (send,) = actions_of(world.send_request()[1], api.Send)
-    world.handle(
-        api.ServerListUpdate("delta", 2, tuple(server_list(9000, 3000)))
-    )  # many of them rank before it
-    assert world.gateway.balancer.membership.has_partial_view and world.gateway.balancer.subset
-    assert send.server in world.gateway.balancer.servers and world.gateway.balancer.attempts_in_flight == 1
-    world.finish_attempt(send)
-    assert world.gateway.balancer.attempts_in_flight == 0
+    harness = build_harness(server_list(3000))
+    (send,) = actions_of(harness.send_request()[1], api.Send)
+    # Many of the new servers rank before the one in use.
+    harness.handle(api.ServerListUpdate("delta", 2, tuple(server_list(9000, 3000))))
+    assert harness.gateway.balancer.membership.has_partial_view and harness.gateway.balancer.subset
+    assert (
+        send.server in harness.gateway.balancer.servers and harness.gateway.balancer.attempts_in_flight == 1
+    )
+    harness.finish_attempt(send)
+    assert harness.gateway.balancer.attempts_in_flight == 0
 
 
 def test_retry_bound_to_a_cell_uses_servers_outside_the_view():
-    world = build_world(server_list(12_000))
+    harness = build_harness(server_list(12_000))
     retries = 0
     for _ in range(12):
-        (first,) = actions_of(world.send_request(service_class=CELL_WRITE.name)[1], api.Send)
-        retry_sends = actions_of(world.finish_attempt(first, "reset"), api.Send)
+        (first,) = actions_of(harness.send_request(service_class=CELL_WRITE.name)[1], api.Send)
+        retry_sends = actions_of(harness.finish_attempt(first, "reset"), api.Send)
         for second in retry_sends:
-            cell = world.gateway.balancer.membership.servers[first.server].cell
+            cell = harness.gateway.balancer.membership.servers[first.server].cell
             assert (
                 second.server != first.server
-                and world.gateway.balancer.membership.servers[second.server].cell == cell
+                and harness.gateway.balancer.membership.servers[second.server].cell == cell
             )
             retries += 1
-            world.finish_attempt(second)
+            harness.finish_attempt(second)
     assert retries > 0
 
 
@@ -191,59 +190,62 @@
     servers = server_list(12_000)
     used = 0
     for index in range(6):
-        world = build_world(servers, gateways=6 * 100, index=index)
-        world.send_request()
+        harness = build_harness(servers, gateways=6 * 100, index=index)
+        harness.send_request()
         outside = [
-            n for n in world.gateway.balancer.membership.servers if n not in world.gateway.balancer.membership
+            n
+            for n in harness.gateway.balancer.membership.servers
+            if n not in harness.gateway.balancer.membership
         ][:400]
-        world.handle(
-            api.ServerListUpdate("delta", 2, tuple(make_server(n, started_at=world.now) for n in outside))
+        harness.handle(
+            api.ServerListUpdate("delta", 2, tuple(make_server(n, started_at=harness.now) for n in outside))
         )
-        admitted = [n for n in outside if n in world.gateway.balancer.servers]
+        admitted = [n for n in outside if n in harness.gateway.balancer.servers]
         assert len(admitted) < 40  # of 400, because few gateways have a slot at each
         used += len(admitted)
-        assert all(world.gateway.balancer.servers[n].slow_start is not None for n in admitted)
-        world.now += 30.0  # slow start is over
-        world.handle(api.ServerListUpdate("delta", 3, (make_server("h0", state="leaving"),)))
-        world.send_request()
+        assert all(harness.gateway.balancer.servers[n].slow_start is not None for n in admitted)
+        harness.now += 30.0  # slow start is over
+        harness.handle(api.ServerListUpdate("delta", 3, (make_server("h0", state="leaving"),)))
+        harness.send_request()
     assert used > 0
 
 
 def test_servers_that_enter_the_view_of_a_shrinking_list_get_state():
-    world = build_world(server_list(9000), gateways=400)
-    world.send_request()
+    harness = build_harness(server_list(9000), gateways=400)
+    harness.send_request()
     for count in (5000, 1200, 400):
         kept = server_list(9000)[9000 - count :]
-        world.handle(api.ServerListUpdate("full", 2, tuple(kept)))
+        harness.handle(api.ServerListUpdate("full", 2, tuple(kept)))
         for _ in range(40):
-            world.handle(api.TimerExpired(0))
-        (send,) = actions_of(world.send_request()[1], api.Send)
-        assert send.server in {server.id for server in kept} and len(world.gateway.balancer.subset) == max(
+            harness.handle(api.TimerExpired(0))
+        (send,) = actions_of(harness.send_request()[1], api.Send)
+        assert send.server in {server.id for server in kept} and len(harness.gateway.balancer.subset) == max(
             8, -(-count // 40)
         )
-        world.finish_attempt(send)
-    assert {server.info.id for server in world.gateway.balancer.up_servers} == {server.id for server in kept}
+        harness.finish_attempt(send)
+    assert {server.info.id for server in harness.gateway.balancer.up_servers} == {
+        server.id for server in kept
+    }
 
 
 def test_list_shorter_than_the_view_is_entirely_in_view():
-    world = build_world(server_list(9000))
-    world.handle(api.ServerListUpdate("full", 2, tuple(server_list(50))))
+    harness = build_harness(server_list(9000))
+    harness.handle(api.ServerListUpdate("full", 2, tuple(server_list(50))))
     for _ in range(40):
-        world.handle(api.TimerExpired(0))
-    assert {server.info.id for server in world.gateway.balancer.up_servers} == {f"h{n}" for n in range(50)}
-    (send,) = actions_of(world.send_request()[1], api.Send)
+        harness.handle(api.TimerExpired(0))
+    assert {server.info.id for server in harness.gateway.balancer.up_servers} == {f"h{n}" for n in range(50)}
+    (send,) = actions_of(harness.send_request()[1], api.Send)
     assert send.server in {f"h{n}" for n in range(50)}
 
 
 def retry_lines(servers, gateways=400):
     """Returns the number of Python lines executed for a retry after an attempt that was reset."""
-    world = build_world(server_list(servers), gateways=gateways)
-    (send,) = actions_of(world.send_request()[1], api.Send)
-    world.gateway.retry_budget, sent = (
-        5.0,
-        [],
-    )  # the initial budget of one gateway of many can be below one retry
-    lines = executed_lines(lambda: sent.extend(actions_of(world.finish_attempt(send, "reset"), api.Send)))
+    harness = build_harness(server_list(servers), gateways=gateways)
+    (send,) = actions_of(harness.send_request()[1], api.Send)
+    # The initial budget of one gateway of many can be below one retry.
+    harness.gateway.retry_budget = 5.0
+    sent = []
+    lines = executed_lines(lambda: sent.extend(actions_of(harness.finish_attempt(send, "reset"), api.Send)))
     assert len(sent) == 1 and sent[0].server != send.server
     return lines
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -74,8 +74,8 @@
             index=index,
             rules=slow_start_rules(RULES),
         )
-        world = GatewayHarness(configuration, [make_server("h1", started_at=1000.0)], seed=index)
-        sends = [send for _ in range(5) for send in actions_of(world.send_request()[1], api.Send)]
+        harness = GatewayHarness(configuration, [make_server("h1", started_at=1000.0)], seed=index)
+        sends = [send for _ in range(5) for send in actions_of(harness.send_request()[1], api.Send)]
         sends_by_position[gateway_position("h1", 1000.0, index, 40)] = len(sends)
     budget = sum(sends_by_position.values())
     assert 1 <= budget <= 0.9 * 3.0 * 0.15 * 2 / 0.2 + 1
