--- a/calicomast/adapter.py
+++ b/calicomast/adapter.py
@@ -12,7 +12,7 @@
 
 from calicomast import interface as api
 from calicomast.policy import Gateway
-from calicomast.settings import NS, flag, read_load_report, read_settings, seconds
+from calicomast.settings import NANOSECONDS, read_boolean, read_load_report, read_settings, to_seconds
 
 STATE = {"U": "up", "L": "leaving", "D": "down"}
 RESULT = {
@@ -62,7 +62,7 @@
         weight=float(f.get("heft", 1)),
         kind=f.get("flavor", ""),
         state=STATE[f["availability"]],
-        started_at=seconds(f.get("ready_at", "0")),
+        started_at=to_seconds(f.get("ready_at", "0")),
     )
 
 
@@ -70,7 +70,7 @@
     marks = int(f.get("marks", 0))
     return api.Request(
         id=f["txn"],
-        remaining_time=seconds(f["patience_left"]),
+        remaining_time=to_seconds(f["patience_left"]),
         tenant=f["customer"],
         plan=f["tier"],
         service_class=f["type"],
@@ -88,8 +88,8 @@
         attempt=int(f["attempt"]),
         server=f["host"],
         result=RESULT[f["reason"]],
-        elapsed=seconds(f.get("time_taken", "0")),
-        final=flag(f, "terminal"),
+        elapsed=to_seconds(f.get("time_taken", "0")),
+        final=read_boolean(f, "terminal"),
         quota_use=int(float(f.get("fleet_use", 0))),
         actual_units=float(f.get("actual", 0)),
         report=_stats(f),
@@ -107,17 +107,17 @@
         name=int(f["entry_name"]),
         result=RESULT[f["reason"]],
         total=float(f.get("now_at", 0)),
-        elapsed=seconds(f.get("time_taken", "0")),
+        elapsed=to_seconds(f.get("time_taken", "0")),
     ),
     "PING_RESULT": lambda f: api.ProbeResult(
         server=f["host"],
         result=RESULT[f["reason"]],
-        elapsed=seconds(f.get("time_taken", "0")),
+        elapsed=to_seconds(f.get("time_taken", "0")),
         report=_stats(f),
     ),
     "DUE": lambda f: api.TimerExpired(label=int(f["label"])),
     "BEGUN": lambda f: api.AttemptStarted(
-        id=f["txn"], attempt=int(f["attempt"]), server=f["host"], elapsed=seconds(f.get("time_taken", "0"))
+        id=f["txn"], attempt=int(f["attempt"]), server=f["host"], elapsed=to_seconds(f.get("time_taken", "0"))
     ),
     "DROPPED": lambda f: api.ClientDisconnected(id=f["txn"]),
     "MEMO": _memo,
@@ -125,7 +125,7 @@
 
 
 def _ns(seconds: float) -> int:
-    return math.ceil(seconds * NS)
+    return math.ceil(seconds * NANOSECONDS)
 
 
 WRITERS = {
@@ -233,7 +233,7 @@
             if word != "ROUND":
                 raise WireError(f"expected ROUND, found {word!r}")
             try:
-                now = seconds(_fields(parts)["at_time"])
+                now = to_seconds(_fields(parts)["at_time"])
             except (KeyError, ValueError) as err:
                 raise WireError(f"bad clock: {err}") from err
             while (line := self._next()) != "GO":
--- a/calicomast/net/config.py
+++ b/calicomast/net/config.py
@@ -9,7 +9,7 @@
 
 from calicomast import interface as api
 from calicomast.net.listing import Address, Listing, ListReader, read_address
-from calicomast.settings import read_settings, seconds
+from calicomast.settings import read_settings, to_seconds
 
 PIECE = 64 * 1024  # bytes of the file that are read at once
 
@@ -88,8 +88,8 @@
             max_sockets=int(told["limits"]["sockets"]),
             known_servers=known,
             settings=settings,
-            connect_timeout=seconds(limits["connect_timeout"]),
-            server_idle_timeout=seconds(limits["idle_close"]),
+            connect_timeout=to_seconds(limits["connect_timeout"]),
+            server_idle_timeout=to_seconds(limits["idle_close"]),
             max_active_requests=int(limits["max_open"]),
         )
     except KeyError as err:
--- a/calicomast/settings.py
+++ b/calicomast/settings.py
@@ -1,6 +1,7 @@
-"""The settings of a deployment: the wire's names and nanoseconds to interface.Settings.
+"""Converts the settings of a deployment, with their external names and nanoseconds, to interface.Settings.
 
-The simulator sends them as flat text, a real gateway finds them as nested JSON; both are read here.
+The simulator sends the settings as flat text, and a real gateway reads them as nested JSON. Both forms are
+read here.
 """
 
 from __future__ import annotations
@@ -10,9 +11,9 @@
 
 from calicomast import interface as api
 
-EFFECT = {"pure": "safe", "token": "keyed", "side_effect": "unsafe"}
-DISCOVERY = {"pushed": "push", "on_request": "ask"}
-REPORT = {
+EFFECTS = {"pure": "safe", "token": "keyed", "side_effect": "unsafe"}
+DISCOVERY_MODES = {"pushed": "push", "on_request": "ask"}
+REPORT_FIELDS = {
     "active": "inflight",
     "waiting": "queue",
     "cpu": "util",
@@ -20,105 +21,114 @@
     "rps": "rps",
     "err_rps": "errors",
 }
-BOOL = {"true": True, "1": True, "false": False, "0": False}
-NS = 1e9
+BOOLEANS = {"true": True, "1": True, "false": False, "0": False}
+NANOSECONDS = 1e9  # per second
 
 
 def _items(node: Any) -> list[dict[str, Any]]:
-    """A list of objects: as JSON has it, or as the simulator's flat paths count it."""
-    return node if isinstance(node, list) else [node[str(k)] for k in range(int(node["count"]))]
+    """Returns a list of objects, given as a JSON list or in the simulator's form: numbered, with a count."""
+    return node if isinstance(node, list) else [node[str(index)] for index in range(int(node["count"]))]
 
 
 def _names(node: Any) -> list[str]:
+    """Returns a list of names, given as a JSON list or as text separated by commas."""
     return node if isinstance(node, list) else node.split(",")
 
 
-def seconds(value: Any) -> float:
-    return int(value) / NS
+def to_seconds(value: Any) -> float:
+    """Converts nanoseconds, as a number or text, to seconds."""
+    return int(value) / NANOSECONDS
 
 
-def flag(node: dict[str, Any], name: str, default: bool = False) -> bool:
-    return BOOL[str(node[name]).lower()] if name in node else default
+def read_boolean(node: dict[str, Any], name: str, default: bool = False) -> bool:
+    """Returns a boolean member; raises KeyError if its value is not a boolean."""
+    return BOOLEANS[str(node[name]).lower()] if name in node else default
 
 
-def _num(node: dict[str, Any], name: str) -> float:
+def _number(node: dict[str, Any], name: str) -> float:
+    """Returns a numeric member, or 0 if it is missing."""
     return float(node.get(name, 0))
 
 
-def read_settings(t: dict[str, Any]) -> api.Settings:
+def read_settings(tree: dict[str, Any]) -> api.Settings:
+    """Reads a settings tree in either form.
+
+    Raises KeyError if a member is missing or has an unknown value, and ValueError, TypeError or
+    AttributeError if a value has the wrong form.
+    """
     classes = {
-        c["name"]: api.ServiceClass(
-            name=c["name"],
-            latency_target=seconds(c["slo"]),
-            deadline=seconds(c["deadline"]),
-            effect=EFFECT[c["effect"]],
-            dedup_scope=c.get("dedup_scope", "all"),
-            dedup_window=seconds(c.get("memory_span", "0")),
-            value=float(c["gain"]),
-            late_value=_num(c, "late_value"),
-            streaming=flag(c, "streaming"),
-            latency_target_stretch=_num(c, "aim_stretch"),
+        service["name"]: api.ServiceClass(
+            name=service["name"],
+            latency_target=to_seconds(service["slo"]),
+            deadline=to_seconds(service["deadline"]),
+            effect=EFFECTS[service["effect"]],
+            dedup_scope=service.get("dedup_scope", "all"),
+            dedup_window=to_seconds(service.get("memory_span", "0")),
+            value=float(service["gain"]),
+            late_value=_number(service, "late_value"),
+            streaming=read_boolean(service, "streaming"),
+            latency_target_stretch=_number(service, "aim_stretch"),
         )
-        for c in _items(t["services"])
+        for service in _items(tree["services"])
     }
     plans = {
-        p["name"]: api.Plan(
-            name=p["name"],
-            rate=_num(p, "rate"),
-            burst=_num(p, "most_at_once"),
-            concurrency_limit=int(_num(p, "parallel")),
-            value_factor=float(p.get("value_factor", 1)),
-            over_quota_value=_num(p, "beyond_earns"),
-            over_quota_cost=_num(p, "over_cost"),
-            ceiling_rate=_num(p, "cap_rate"),
-            ceiling_burst=_num(p, "cap_depth"),
-            ceiling_slack=_num(p, "hard_slack"),
+        plan["name"]: api.Plan(
+            name=plan["name"],
+            rate=_number(plan, "rate"),
+            burst=_number(plan, "most_at_once"),
+            concurrency_limit=int(_number(plan, "parallel")),
+            value_factor=float(plan.get("value_factor", 1)),
+            over_quota_value=_number(plan, "beyond_earns"),
+            over_quota_cost=_number(plan, "over_cost"),
+            ceiling_rate=_number(plan, "cap_rate"),
+            ceiling_burst=_number(plan, "cap_depth"),
+            ceiling_slack=_number(plan, "hard_slack"),
         )
-        for p in _items(t["plans"])
+        for plan in _items(tree["plans"])
     }
-    lim, rules, spec = t["limits"], t["rules"], t["specifics"]
-    names = t.get("reporting", {}).get("names", "")
+    limits, rules, specifics = tree["limits"], tree["rules"], tree["specifics"]
+    report_names = tree.get("reporting", {}).get("names", "")
     return api.Settings(
-        index=int(t["index"]),
-        gateways=int(t["group_size"]),
-        zone=t["locality"],
+        index=int(tree["index"]),
+        gateways=int(tree["group_size"]),
+        zone=tree["locality"],
         classes=classes,
         plans=plans,
         limits=api.Limits(
-            cancel=flag(lim, "cancel"),
-            hedging=flag(lim, "second_copies"),
-            probes=flag(lim, "probes"),
-            peers=flag(lim, "peers"),
-            retry_after=flag(lim, "retry_after"),
-            max_attempts=int(lim["max_attempts"]),
-            max_retry_after=seconds(lim.get("max_retry_after", "0")),
+            cancel=read_boolean(limits, "cancel"),
+            hedging=read_boolean(limits, "second_copies"),
+            probes=read_boolean(limits, "probes"),
+            peers=read_boolean(limits, "peers"),
+            retry_after=read_boolean(limits, "retry_after"),
+            max_attempts=int(limits["max_attempts"]),
+            max_retry_after=to_seconds(limits.get("max_retry_after", "0")),
         ),
         rules=api.Rules(
-            answer_slack=seconds(rules["answer_slack"]),
-            drain_grace=seconds(rules["drain_grace"]),
+            answer_slack=to_seconds(rules["answer_slack"]),
+            drain_grace=to_seconds(rules["drain_grace"]),
             slow_start_initial_share=float(rules["start_capacity"]),
-            slow_start_duration=seconds(rules["cold"]),
+            slow_start_duration=to_seconds(rules["cold"]),
             overload_multiple=float(rules["fall_multiple"]),
-            overload_window=seconds(rules["tip_after"]),
-            max_fetch_interval=seconds(rules.get("must_ask_in", "0")),
+            overload_window=to_seconds(rules["tip_after"]),
+            max_fetch_interval=to_seconds(rules.get("must_ask_in", "0")),
         ),
-        prices={k: float(v) for k, v in t.get("prices", {}).items()},
-        counter=flag(spec, "shared_counter"),
-        counter_price=_num(spec, "counter_price"),
-        counter_timeout=seconds(spec.get("counter_timeout", "0")),
-        meter_period=seconds(spec.get("meter_period", "0")),
-        settles_actual_units=flag(spec, "settles"),
-        max_request_units=float(spec.get("units_top", 1)),
-        discovery=DISCOVERY[t["registry_mode"]],
-        report_fields=tuple(REPORT[n] for n in _names(names) if n in REPORT),
-        weight_meaning=t.get("weights", "none"),
+        prices={price_name: float(price) for price_name, price in tree.get("prices", {}).items()},
+        counter=read_boolean(specifics, "shared_counter"),
+        counter_price=_number(specifics, "counter_price"),
+        counter_timeout=to_seconds(specifics.get("counter_timeout", "0")),
+        meter_period=to_seconds(specifics.get("meter_period", "0")),
+        settles_actual_units=read_boolean(specifics, "settles"),
+        max_request_units=float(specifics.get("units_top", 1)),
+        discovery=DISCOVERY_MODES[tree["registry_mode"]],
+        report_fields=tuple(REPORT_FIELDS[field] for field in _names(report_names) if field in REPORT_FIELDS),
+        weight_meaning=tree.get("weights", "none"),
     )
 
 
 def read_load_report(pairs: Iterable[tuple[str, str] | list[str]]) -> dict[str, float]:
-    """The fields of a load report that are known and have a value; latency in seconds."""
+    """Reads the known fields of a load report that have a value; the latency is returned in seconds."""
     return {
-        REPORT[name]: float(value) / 1000 if name == "avg_ms" else float(value)
+        REPORT_FIELDS[name]: float(value) / 1000 if name == "avg_ms" else float(value)
         for name, value in pairs
-        if name in REPORT and value
+        if name in REPORT_FIELDS and value
     }
