--- a/calicomast/net/config.py
+++ b/calicomast/net/config.py
@@ -1,4 +1,4 @@
-"""What a real gateway is told: environment and JSON file to one checked Config."""
+"""The configuration of a real gateway: reads the environment and a JSON file into one checked Config."""
 
 from __future__ import annotations
 
@@ -11,46 +11,50 @@
 from calicomast.net.listing import Address, Listing, ListReader, read_address
 from calicomast.settings import read_settings, to_seconds
 
-PIECE = 64 * 1024  # bytes of the file that are read at once
+READ_SIZE = 64 * 1024  # bytes of the file per read
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says why in one line."""
+    """The configuration cannot be used; the message gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The configuration of one gateway process."""
+
     name: str
-    listen: Address
-    discovery: Address
-    counter: Address | None
-    seed: int
-    memory_limit: int  # bytes past which the process is killed
+    listen: Address  # for clients
+    discovery: Address  # of the discovery service
+    counter: Address | None  # of the shared counter
+    seed: int  # of the policy's random generator
+    memory_limit: int  # bytes; the process is killed if it uses more
     max_sockets: int  # file descriptors that the process may hold
-    known_servers: Listing  # the hosts as this gateway last had them; it may be old
+    known_servers: Listing  # the last server list of this gateway, which may be out of date
     settings: api.Settings
-    connect_timeout: float
-    server_idle_timeout: float  # hosts close a connection that has stood idle for this long
-    max_active_requests: int  # requests in work at once
+    connect_timeout: float  # seconds
+    server_idle_timeout: float  # seconds after which servers close an idle connection
+    max_active_requests: int
 
 
 def read_file(path: str, keep_servers: bool) -> Generator[None, None, tuple[dict[str, Any], Listing]]:
-    """What the file says, and the list of servers in it. It is read in pieces, as the list may be long, and
-    gives way between them."""
+    """Reads the file; returns its content and the server list in it.
+
+    The list may be long, so the file is read in pieces, with a yield after each to let other work run.
+    """
     reader = ListReader(("known", "servers"), "cached", keep=keep_servers)
     with open(path, "rb") as file:
-        while piece := file.read(PIECE):
-            yield from reader.feed(piece)
+        while data := file.read(READ_SIZE):
+            yield from reader.feed(data)
             yield
     yield from reader.feed(b"", last=True)
-    told = reader.reader.members[0]
-    if "settings" not in told:
+    content = reader.reader.members[0]
+    if "settings" not in content:
         raise KeyError("settings")
-    return told, reader.listing()
+    return content, reader.listing()
 
 
 def read_config(env: Mapping[str, str] = os.environ, reload: bool = False) -> Config:
-    """The configuration; raises ConfigError. `reload`: see read_config_incrementally."""
+    """Reads the configuration; raises ConfigError. For `reload` see read_config_incrementally."""
     steps = read_config_incrementally(env, reload)
     while True:
         try:
@@ -64,29 +68,32 @@
 ) -> Generator[None, None, Config]:
     """Reads the configuration in steps of about a millisecond; raises ConfigError.
 
-    `reload`: the file was replaced since the start, so the discovery that it names is newer than the one that
-    the environment named. `keep_servers`: whether the list of servers in it is wanted.
+    Args:
+        env: the environment of the process.
+        reload: whether the file was replaced since the start. Its address of discovery is then newer than
+            the one in the environment and takes precedence.
+        keep_servers: whether the server list in the file is kept.
     """
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
     try:
-        told, known = yield from read_file(path, keep_servers)
-        tree = told["settings"]
-        limits = tree["limits"]
-        settings = read_settings(tree)
-        counter = told.get("counter")
+        content, known_servers = yield from read_file(path, keep_servers)
+        settings_tree = content["settings"]
+        limits = settings_tree["limits"]
+        settings = read_settings(settings_tree)
+        counter = content.get("counter")
         if settings.counter and not counter:
-            raise ValueError("the settings allow a counter but no address is given")
+            raise ValueError("the settings have a shared counter, but the file has no counter address")
         return Config(
-            name=env.get("RELAY_NAME") or told["name"],
-            listen=read_address(env.get("RELAY_LISTEN") or told["listen"]),
-            discovery=read_address((not reload and env.get("RELAY_DISCOVERY")) or told["discovery"]),
+            name=env.get("RELAY_NAME") or content["name"],
+            listen=read_address(env.get("RELAY_LISTEN") or content["listen"]),
+            discovery=read_address((not reload and env.get("RELAY_DISCOVERY")) or content["discovery"]),
             counter=read_address(counter) if counter else None,
-            seed=int(told["seed"], 16),
-            memory_limit=int(told["limits"]["memory_mb"]) * 1024 * 1024,
-            max_sockets=int(told["limits"]["sockets"]),
-            known_servers=known,
+            seed=int(content["seed"], 16),
+            memory_limit=int(content["limits"]["memory_mb"]) * 1024 * 1024,
+            max_sockets=int(content["limits"]["sockets"]),
+            known_servers=known_servers,
             settings=settings,
             connect_timeout=to_seconds(limits["connect_timeout"]),
             server_idle_timeout=to_seconds(limits["idle_close"]),
