--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A scripted world for one or several gateways: it answers nothing by itself."""
+"""A test harness for the policy of one gateway; it answers only the policy's calls to the counter."""
 
 from calicomast import interface as api
 from calicomast.policy import Gateway
@@ -9,8 +9,9 @@
 UNSAFE_WRITE = api.ServiceClass("note", 1.0, 3.0, "unsafe", "all", 5.0, 2.0, 0.0, False, 0.0)
 
 
-def make_plan(name="p", **kw):
-    base = dict(
+def make_plan(name="p", **changes):
+    """Returns a plan, with defaults for the fields that are not given."""
+    defaults = dict(
         rate=2.0,
         burst=8.0,
         concurrency_limit=0,
@@ -21,11 +22,12 @@
         ceiling_burst=0.0,
         ceiling_slack=0.0,
     )
-    return api.Plan(name, **{**base, **kw})
+    return api.Plan(name, **{**defaults, **changes})
 
 
-def make_settings(plans=None, limits=None, rules=None, **kw):
-    lim = dict(
+def make_settings(plans=None, limits=None, rules=None, **changes):
+    """Returns settings, with defaults for the fields, limits and rules that are not given."""
+    default_limits = dict(
         cancel=True,
         hedging=True,
         probes=False,
@@ -34,7 +36,7 @@
         max_attempts=4,
         max_retry_after=1.0,
     )
-    rul = dict(
+    default_rules = dict(
         answer_slack=0.01,
         drain_grace=1.0,
         slow_start_initial_share=0.2,
@@ -43,14 +45,16 @@
         overload_window=2.0,
         max_fetch_interval=10.0,
     )
-    base = dict(
+    defaults = dict(
         index=0,
         gateways=2,
         zone="z1",
-        classes={c.name: c for c in (READ, WRITE, CELL_WRITE, UNSAFE_WRITE)},
-        plans={p.name: p for p in (plans or [make_plan()])},
-        limits=api.Limits(**{**lim, **(limits or {})}),
-        rules=api.Rules(**{**rul, **(rules or {})}),
+        classes={
+            service_class.name: service_class for service_class in (READ, WRITE, CELL_WRITE, UNSAFE_WRITE)
+        },
+        plans={plan.name: plan for plan in (plans or [make_plan()])},
+        limits=api.Limits(**{**default_limits, **(limits or {})}),
+        rules=api.Rules(**{**default_rules, **(rules or {})}),
         prices={"cross_zone": 0.02},
         counter=True,
         counter_price=0.01,
@@ -62,53 +66,67 @@
         report_fields=("queue",),
         weight_meaning="none",
     )
-    return api.Settings(**{**base, **kw})
+    return api.Settings(**{**defaults, **changes})
 
 
 def make_server(name, zone="z1", cell=0, state="up", started_at=0.0):
+    """Returns a server as discovery lists it."""
     return api.Server(name, zone, cell, 1.0, "k", state, started_at)
 
 
 class GatewayHarness:
+    """Runs the policy of one gateway on a clock of its own, starting with a cached server list.
+
+    Attributes:
+        now: the clock, in seconds.
+        action_log: time and action, for all actions so far.
+        counter_totals: totals of the counter, by count name.
+        counter_mode: "answer", "silent" (each call times out), "refuse" (each is turned away) or "hold" (the
+            test answers).
+    """
+
     def __init__(self, settings=None, servers=None, seed=1, start=1000.0):
         self.now, self.settings = start, settings or make_settings()
         self.gateway = Gateway(self.settings, seed, start)
         self.action_log, self.request_count = [], 0
         self.counter_totals = {}
-        self.counter_mode = "answer"  # or "silent", "refuse", "hold"
-        listed = tuple(servers if servers is not None else [make_server("h1"), make_server("h2")])
-        self.handle(api.ServerListUpdate("cached", 1, listed))
+        self.counter_mode = "answer"
+        server_list = tuple(servers if servers is not None else [make_server("h1"), make_server("h2")])
+        self.handle(api.ServerListUpdate("cached", 1, server_list))
 
     def handle(self, event):
-        """Hands one event over, answers counter calls as `counter_mode` says, returns all actions."""
-        acts = self.gateway.handle(self.now, event)
-        self.action_log += [(self.now, a) for a in acts]
-        for call in [a for a in acts if isinstance(a, api.AddToCounter)]:
+        """Passes an event to the policy, answers its counter calls by `counter_mode`, returns all actions."""
+        actions = self.gateway.handle(self.now, event)
+        self.action_log += [(self.now, action) for action in actions]
+        for call in [action for action in actions if isinstance(action, api.AddToCounter)]:
             if self.counter_mode == "answer":
                 total = self.counter_totals[call.name] = self.counter_totals.get(call.name, 0) + call.amount
-                acts = acts + self.handle(api.CounterResult(call.name, "ok", total, 0.002))
+                actions = actions + self.handle(api.CounterResult(call.name, "ok", total, 0.002))
             elif self.counter_mode == "silent":
                 self.now += 0.05
-                acts = acts + self.handle(api.CounterResult(call.name, "timeout", 0, 0.05))
+                actions = actions + self.handle(api.CounterResult(call.name, "timeout", 0, 0.05))
             elif self.counter_mode == "refuse":
-                acts = acts + self.handle(api.CounterResult(call.name, "full", 0, 0.001))
-        return acts
+                actions = actions + self.handle(api.CounterResult(call.name, "full", 0, 0.001))
+        return actions
 
     def send_request(self, tenant="c", plan="p", service_class="read", units=1, spread=2, remaining_time=3.0):
+        """Sends the policy a request; returns the request's id and all actions."""
         self.request_count += 1
-        name = f"r{self.request_count}"
-        return name, self.handle(
-            api.Request(name, remaining_time, tenant, plan, service_class, units, 0, spread)
+        request_id = f"r{self.request_count}"
+        return request_id, self.handle(
+            api.Request(request_id, remaining_time, tenant, plan, service_class, units, 0, spread)
         )
 
     def advance(self, seconds, step=0.02):
-        acts, end = [], self.now + seconds
+        """Advances the clock, with a timer event after each step; returns all actions."""
+        actions, end = [], self.now + seconds
         while self.now < end - 1e-9:
             self.now = min(end, self.now + step)
-            acts += self.handle(api.TimerExpired(0))
-        return acts
+            actions += self.handle(api.TimerExpired(0))
+        return actions
 
-    def finish_attempt(self, send, result="ok", attempt=0, final=None, elapsed=0.05, **kw):
+    def finish_attempt(self, send, result="ok", attempt=0, final=None, elapsed=0.05, **fields):
+        """Reports the outcome of an attempt, by default final if it is "ok"; returns all actions."""
         return self.handle(
             api.Outcome(
                 send.id,
@@ -117,10 +135,11 @@
                 result,
                 elapsed,
                 result == "ok" if final is None else final,
-                **kw,
+                **fields,
             )
         )
 
 
-def actions_of(acts, kind):
-    return [a for a in acts if isinstance(a, kind)]
+def actions_of(actions, action_type):
+    """Returns the actions of a type, or of a union of types."""
+    return [action for action in actions if isinstance(action, action_type)]
