--- a/calicomast/adapter.py
+++ b/calicomast/adapter.py
@@ -14,7 +14,7 @@
 from typing import Any, TextIO
 
 from calicomast import interface as api
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 from calicomast.settings import NANOSECONDS, read_boolean, read_load_report, read_settings, to_seconds
 
 SERVER_STATES = {"U": "up", "L": "leaving", "D": "down"}
@@ -183,7 +183,7 @@
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source, self.sink, self.line_number, self.line = source, sink, 0, ""
-        self.gateways: dict[int, Gateway] = {}
+        self.gateways: dict[int, GatewayPolicy] = {}
 
     def _next_line(self) -> str | None:
         """Reads the next line; returns None at the end of the input."""
@@ -240,7 +240,7 @@
             raise WireError(str(err), gateway) from err
         try:
             if event is None:
-                self.gateways[gateway] = Gateway(settings, seed, now)
+                self.gateways[gateway] = GatewayPolicy(settings, seed, now)
                 return
             actions = self.gateways[gateway].handle(now, event)
             replies.extend(WRITERS[type(action)](gateway, action) for action in actions)
--- a/calicomast/interface.py
+++ b/calicomast/interface.py
@@ -318,7 +318,7 @@
     server: str
     timeout: float = 0  # seconds; 0: until the client's deadline
     retry_deadline: float = math.inf  # clock time by which a retry must be written
-    slow_start: bool = False  # whether a delayed write must ask the policy's admits_late first
+    slow_start: bool = False  # whether a delayed write needs GatewayPolicy.admits_delayed_attempt
 
 
 @dataclass(frozen=True, slots=True)
--- a/calicomast/net/config.py
+++ b/calicomast/net/config.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from calicomast import interface as api
-from calicomast.net.listing import Address, Listing, ListReader, read_address
+from calicomast.net.server_list import Address, ServerList, ServerListReader, parse_address
 from calicomast.settings import read_settings, to_seconds
 
 READ_SIZE = 64 * 1024  # bytes of the file per read
@@ -29,28 +29,28 @@
     seed: int  # of the policy's random generator
     memory_limit: int  # bytes; the process is killed if it uses more
     max_sockets: int  # file descriptors that the process may hold
-    known_servers: Listing  # the last server list of this gateway, which may be out of date
+    known_servers: ServerList  # the last server list of this gateway, which may be out of date
     settings: api.Settings
     connect_timeout: float  # seconds
     server_idle_timeout: float  # seconds after which servers close an idle connection
     max_active_requests: int
 
 
-def read_file(path: str, keep_servers: bool) -> Generator[None, None, tuple[dict[str, Any], Listing]]:
+def read_file(path: str, keep_servers: bool) -> Generator[None, None, tuple[dict[str, Any], ServerList]]:
     """Reads the file; returns its content and the server list in it.
 
     The list may be long, so the file is read in pieces, with a yield after each to let other work run.
     """
-    reader = ListReader(("known", "servers"), "cached", keep=keep_servers)
+    reader = ServerListReader(("known", "servers"), "cached", keep_entries=keep_servers)
     with open(path, "rb") as file:
         while data := file.read(READ_SIZE):
             yield from reader.feed(data)
             yield
-    yield from reader.feed(b"", last=True)
-    content = reader.reader.members[0]
+    yield from reader.feed(b"", final=True)
+    content = reader.json_reader.members[0]
     if "settings" not in content:
         raise KeyError("settings")
-    return content, reader.listing()
+    return content, reader.server_list()
 
 
 def read_config(env: Mapping[str, str] = os.environ, reload: bool = False) -> Config:
@@ -87,9 +87,9 @@
             raise ValueError("the settings have a shared counter, but the file has no counter address")
         return Config(
             name=env.get("RELAY_NAME") or content["name"],
-            listen=read_address(env.get("RELAY_LISTEN") or content["listen"]),
-            discovery=read_address((not reload and env.get("RELAY_DISCOVERY")) or content["discovery"]),
-            counter=read_address(counter) if counter else None,
+            listen=parse_address(env.get("RELAY_LISTEN") or content["listen"]),
+            discovery=parse_address((not reload and env.get("RELAY_DISCOVERY")) or content["discovery"]),
+            counter=parse_address(counter) if counter else None,
             seed=int(content["seed"], 16),
             memory_limit=int(content["limits"]["memory_mb"]) * 1024 * 1024,
             max_sockets=int(content["limits"]["sockets"]),
--- a/emulator/scenarios/membership.py
+++ b/emulator/scenarios/membership.py
@@ -5,9 +5,9 @@
 import json
 
 from calicomast import interface as api
-from calicomast.net.listing import Listing, read_list
+from calicomast.net.server_list import ServerList, parse_server_list
 from calicomast.net.server_table import ServerTable
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 from emulator.deployment import GATEWAYS_AT_TARGET, SERVERS_AT_TARGET, Deployment
 from emulator.measure import cpu_seconds, executed_lines, memory_megabytes
 from emulator.scenarios.base import Options, Row, Scenario, ladder
@@ -31,20 +31,20 @@
     """The module, and the network code's table that hands lists to it."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
-        self.gateway = Gateway(deployment.settings(0), seed, 1000.0)
+        self.gateway = GatewayPolicy(deployment.settings(0), seed, 1000.0)
         self.table = ServerTable(lambda event: self.gateway.handle(1000.0, event), lambda server: None)
 
-    def take(self, listing: Listing) -> None:
+    def take(self, listing: ServerList) -> None:
         """Takes a list over, and looks for a server once, which is when the lists of them are made."""
-        for _ in self.table.take(listing):
+        for _ in self.table.apply(listing):
             pass
-        self.gateway.fleet.refresh()
+        self.gateway.balancer.refresh()
 
 
 def measure(deployment: Deployment, seed: int) -> Row:
     """One size."""
     text = body(deployment)
-    listing, reading = cpu_seconds(lambda: read_list(text))
+    listing, reading = cpu_seconds(lambda: parse_server_list(text))
     taker = Taker(deployment, seed)
     _, taking = cpu_seconds(lambda: taker.take(listing))
     step = max(1, deployment.servers // CHANGES)
@@ -58,14 +58,14 @@
     def change_all() -> None:
         for change in changes:
             taker.gateway.handle(1000.0, change)
-            taker.gateway.fleet.refresh()
+            taker.gateway.balancer.refresh()
 
     _, changing = cpu_seconds(change_all)
     lines = executed_lines(change_all)
 
     def hold() -> Taker:
         held = Taker(deployment, seed)
-        held.take(read_list(text))
+        held.take(parse_server_list(text))
         return held
 
     _, kept, peak = memory_megabytes(hold)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """A test harness for the policy of one gateway; it answers only the policy's calls to the counter."""
 
 from calicomast import interface as api
-from calicomast.policy import Gateway
+from calicomast.policy import GatewayPolicy
 
 READ = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 1.0, 0.0, False, 0.0)
 WRITE = api.ServiceClass("write", 1.0, 3.0, "keyed", "zone", 1.0, 3.0, 0.0, False, 0.0)
@@ -87,7 +87,7 @@
 
     def __init__(self, settings=None, servers=None, seed=1, start=1000.0):
         self.now, self.settings = start, settings or make_settings()
-        self.gateway = Gateway(self.settings, seed, start)
+        self.gateway = GatewayPolicy(self.settings, seed, start)
         self.action_log, self.request_count = [], 0
         self.counter_totals = {}
         self.counter_mode = "answer"
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -68,7 +68,7 @@
     n = served(w, 60)
     assert n <= 8 / 2 + 2 * (w.now - start) + 4  # the even share, never a lease
     assert all(not j.stage == "units" for j in w.gateway.requests.values())
-    assert w.gateway.accounts["c"].lease == 0
+    assert w.gateway.tenant_quotas["c"].lease == 0
 
 
 def test_silent_counter_calls_back_off():
@@ -159,7 +159,7 @@
     w = GatewayHarness()
     acct_len = 4.0
     w.send_request()
-    phase = w.gateway.accounts["c"].start
+    phase = w.gateway.tenant_quotas["c"].window_start
     w.now = phase + 2 * acct_len - 0.5  # late in a window that nothing was drawn in
     n = served(w, 60)
     assert n <= 8 + 4 + 1  # the burst, and what its even part passed uncharged
@@ -174,7 +174,7 @@
         for w in (a, b):
             w.now = max(a.now, b.now)
             served(w, 60)
-        start = a.gateway.accounts["c"].start
+        start = a.gateway.tenant_quotas["c"].window_start
         a.now = b.now = start + 4.0 + 0.001
         assert max(a.counter_totals.values()) <= 40 + 10 * 4 + 3, turn  # never more owed than was drawn
 
@@ -239,14 +239,14 @@
         acts = w.send_request()[1]
         calls, n = calls + actions_of(acts, api.AddToCounter), n + len(actions_of(acts, api.Send))
     acts = w.handle(api.CounterResult(calls[0].name, "timeout", 0, 0.05))
-    assert w.gateway.accounts["c"].lease == 0 and n + len(actions_of(acts, api.Send)) <= 5
+    assert w.gateway.tenant_quotas["c"].lease == 0 and n + len(actions_of(acts, api.Send)) <= 5
     assert len(actions_of(acts, api.Refuse)) >= 3
 
 
 def test_what_a_quiet_half_lets_pass_too_much_is_taken_from_the_next_window():
     w = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=40.0)]))
     w.send_request()
-    w.now = w.gateway.accounts["c"].start + 2 * 20.0 - 0.5
+    w.now = w.gateway.tenant_quotas["c"].window_start + 2 * 20.0 - 0.5
     n, start = served(w, 120), w.now
     assert n <= 80
     w.now += 1.0
@@ -286,7 +286,7 @@
         for send in actions_of(w.send_request(f"c{n}")[1], api.Send):
             w.finish_attempt(send)
         w.now += 0.1
-    assert len(w.gateway.accounts) < 350 and busy
+    assert len(w.gateway.tenant_quotas) < 350 and busy
 
 
 def test_a_spoilt_answer_of_the_counter_does_not_stop_the_next_call():
@@ -354,7 +354,7 @@
     w = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
     w.counter_mode = "hold"
     call = next_call(w)
-    w.gateway.accounts["c"].debt = 5.0
+    w.gateway.tenant_quotas["c"].debt = 5.0
     w.handle(api.CounterResult(call.name, "timeout", 0.0, 0.002))  # its line broke: it may have been added
     second = next_call(w)
     acts = w.handle(api.CounterResult(call.name, "ok", call.amount + second.amount, 0.002))
@@ -365,7 +365,7 @@
     w = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
     w.counter_mode = "hold"
     call = next_call(w)
-    w.gateway.accounts["c"].debt = 5.0
+    w.gateway.tenant_quotas["c"].debt = 5.0
     assert actions_of(w.handle(api.CounterResult(call.name, "ok", call.amount, 0.002)), api.AddToCounter)
     w.handle(api.CounterResult(call.name, "full", 0.0, 0.002))  # the overdraft
     second = next_call(w)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -235,7 +235,7 @@
         for s in actions_of(w.send_request(tenant=f"c{k}")[1], api.Send):
             w.finish_attempt(s)
         w.now += 1.0
-    assert len(w.gateway.accounts) < 70
+    assert len(w.gateway.tenant_quotas) < 70
 
 
 def test_overload_of_servers_sheds_what_is_worth_least_with_many_gateways():
@@ -254,11 +254,13 @@
     w = GatewayHarness(make_settings(gateways=1), [make_server("h1")])
     name, acts = w.send_request()
     (send,), arrived = actions_of(acts, api.Send), w.now
-    w.gateway.fleet.mean["read"] = 0.6  # of the aim of 1.0: an attempt begun later is answered too late
+    w.gateway.balancer.mean_latency["read"] = (
+        0.6  # of the aim of 1.0: an attempt begun later is answered too late
+    )
     assert w.gateway.hold(w.gateway.requests[name]) <= 0.4
     w.now += 0.3
     w.handle(api.ServerListUpdate("delta", 2, (make_server("h2", started_at=w.now),)))
-    w.gateway.fleet.servers["h2"].admission.note(
+    w.gateway.balancer.servers["h2"].slow_start.record_send(
         w.now, 99.0, ("other", 0)
     )  # cold: it may be sent nothing for 2 s
     acts = w.finish_attempt(send, "reset")
@@ -295,6 +297,6 @@
         acts = w.finish_attempt(sends[-1], result, attempt=number) + w.advance(0.12)
         sends += actions_of(acts, api.Send)
         assert len(sends) == number + 2 and not actions_of(acts, api.Refuse)
-    detector = w.gateway.fleet.detector
-    assert not detector.hosts
+    detector = w.gateway.balancer.detector
+    assert not detector.estimates
     assert actions_of(w.finish_attempt(sends[-1], "full", attempt=3), api.Refuse)  # that one counts
