--- a/calicomast/net/__main__.py
+++ b/calicomast/net/__main__.py
@@ -1,4 +1,4 @@
-"""One real api gateway: `python -m calicomast.net`, with RELAY_CONFIG naming its configuration."""
+"""Entry point of the gateway process: `python -m calicomast.net`, configured by the file in RELAY_CONFIG."""
 
 from __future__ import annotations
 
@@ -7,18 +7,24 @@
 
 
 class SighupCounter:
-    """Counts SIGHUP from the first moment, when nothing can be made of it yet: its default is to end us."""
+    """Counts SIGHUP signals from the start of the process, before any of them can be handled.
+
+    The default action of SIGHUP would end the process.
+    """
 
     def __init__(self) -> None:
-        self.seen = 0
-        signal.signal(signal.SIGHUP, self.note)
+        """Installs the signal handler."""
+        self.count = 0
+        signal.signal(signal.SIGHUP, self.increment)
 
-    def note(self, *_: object) -> None:
-        self.seen += 1
+    def increment(self, *_: object) -> None:
+        """Handles one SIGHUP."""
+        self.count += 1
 
 
 if __name__ == "__main__":
-    hangups = SighupCounter()
-    from calicomast.net.program import main  # takes most of a start: not before signals are seen
+    sighups = SighupCounter()
+    # This import takes most of the start-up time, so it comes after the signal handler is installed.
+    from calicomast.net.program import main
 
-    sys.exit(main(hangups))
+    sys.exit(main(sighups))
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -440,9 +440,9 @@
         if self.counter:
             self.counter.close()
         await asyncio.gather(self.discovery.close(), *self.endings)
-        self.print_counts()
+        self.log_counts()
 
-    def print_counts(self) -> None:
+    def log_counts(self) -> None:
         """Logs what ended and why since the start, and the violations."""
         log.info("counts %s", self.event_log.summary())
 
--- a/calicomast/net/program.py
+++ b/calicomast/net/program.py
@@ -1,4 +1,4 @@
-"""The process of one real api gateway: its log, its signals, its start and end."""
+"""The gateway process: logging, signals, start-up, shutdown and reloading of the configuration."""
 
 from __future__ import annotations
 
@@ -18,110 +18,139 @@
 from calicomast.net.gateway import GatewayService
 from calicomast.net.own_trouble import is_own_trouble
 
-STEPS_PER_TURN = 4  # of reading the configuration again
-MOST_LINES = 5  # of the log in a second
-IN_USE = 5.0  # s for which an address that is still in use is tried again
-HINDERED = 20.0  # s for which a start is, where the system is short of descriptors or memory
-START_PAUSE = 0.05  # s between tries
-RELOAD_PAUSES = (0.1, 0.2, 0.4, 0.8)  # s between tries of a configuration that cannot be read
+STEPS_PER_TURN = 4  # steps of reading the configuration in one turn of the event loop
+MAX_LINES_PER_SECOND = 5  # log lines
+ADDRESS_IN_USE_TIMEOUT = 5.0  # seconds for which listening is retried while the address is in use
+LOCAL_ERROR_TIMEOUT = 20.0  # seconds for which the start is retried after local errors, e.g. out of memory
+START_RETRY_INTERVAL = 0.05  # seconds
+RELOAD_RETRY_DELAYS = (0.1, 0.2, 0.4, 0.8)  # seconds before each retry of a reload that failed
 
 
 class RateLimitFilter(logging.Filter):
-    """A few lines a second: CPU is rationed, and trouble that repeats must not take it for logging."""
+    """Limits the log to MAX_LINES_PER_SECOND.
+
+    CPU time is limited, and an error that repeats must not spend it on logging.
+    """
 
     def __init__(self) -> None:
+        """Starts with an empty count."""
         super().__init__()
-        self.second, self.left, self.dropped = 0, 0, 0
+        self.current_second, self.remaining, self.dropped = 0, 0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        if int(record.created) != self.second:
+        """Returns whether a record is logged; the first one of a second says how many were dropped before."""
+        if int(record.created) != self.current_second:
             if self.dropped:
-                record.msg = f"({self.dropped} lines left out) {record.msg}"
-            self.second, self.left, self.dropped = int(record.created), MOST_LINES, 0
-        self.left -= 1
-        self.dropped += self.left < 0
-        return self.left >= 0
+                record.msg = f"({self.dropped} lines dropped) {record.msg}"
+            self.current_second, self.remaining, self.dropped = int(record.created), MAX_LINES_PER_SECOND, 0
+        self.remaining -= 1
+        self.dropped += self.remaining < 0
+        return self.remaining >= 0
 
 
 class SighupCounter(Protocol):
-    seen: int  # how often SIGHUP came since the process began
+    """The count of SIGHUP signals that the entry point keeps."""
+
+    count: int  # since the start of the process
 
 
-async def serve(config: Config, hangups: SighupCounter, known: int) -> None:
-    told = asyncio.Event()
+async def serve(config: Config, sighups: SighupCounter, handled: int) -> None:
+    """Runs one gateway until SIGTERM or SIGINT.
+
+    Args:
+        handled: the count of SIGHUP signals when reading of the configuration began; a later one makes it be
+            read again.
+    """
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
-    node = GatewayService(config)
-    reloader = Reloader(node)
+        loop.add_signal_handler(number, stop_requested.set)
+    service = GatewayService(config)
+    reloader = Reloader(service)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
-    loop.add_signal_handler(signal.SIGUSR1, node.print_counts)
-    if hangups.seen > known:  # since the configuration was read
+    loop.add_signal_handler(signal.SIGUSR1, service.log_counts)
+    if sighups.count > handled:
         reloader.reload()
-    port = await start_service(node, told)
+    port = await start_service(service, stop_requested)
     if port is None:
         return
-    gc.freeze()  # what the start made stays for good: no collection need look at it again
+    gc.freeze()  # objects made at start-up live as long as the process: no collection needs to scan them
     logging.getLogger(__name__).info("%s listens on %s:%d", config.name, config.listen[0], port)
-    await told.wait()
-    await node.stop()
+    await stop_requested.wait()
+    await service.stop()
+
 
+async def start_service(service: GatewayService, stop_requested: asyncio.Event) -> int | None:
+    """Starts the gateway and returns its port, or None if a stop was requested before it could listen.
 
-async def start_service(node: GatewayService, told: asyncio.Event) -> int | None:
-    """Starts it, at its address as soon as that is free: what had it before may be just ending. None where it
-    was told to end before."""
-    await node.start()
-    began = time.monotonic()
-    while not told.is_set():
+    Listening is retried while the address is in use, as a previous process may still be ending, and after
+    local errors. Raises OSError for other errors, and for these when their time is over.
+    """
+    await service.start()
+    started_at = time.monotonic()
+    while not stop_requested.is_set():
         try:
-            return await node.listen()
+            return await service.listen()
         except OSError as err:
-            most = HINDERED if is_own_trouble(err) else IN_USE if err.errno == errno.EADDRINUSE else 0.0
-            if time.monotonic() > began + most:
+            timeout = (
+                LOCAL_ERROR_TIMEOUT
+                if is_own_trouble(err)
+                else ADDRESS_IN_USE_TIMEOUT
+                if err.errno == errno.EADDRINUSE
+                else 0.0
+            )
+            if time.monotonic() > started_at + timeout:
                 raise
             reason = "in use" if err.errno == errno.EADDRINUSE else err.strerror
-            logging.getLogger(__name__).warning("cannot listen yet, trying again: %s", reason)
-            await asyncio.sleep(START_PAUSE)
+            logging.getLogger(__name__).warning("cannot listen, retrying: %s", reason)
+            await asyncio.sleep(START_RETRY_INTERVAL)
     return None
 
 
-def read_at_start(hangups: SighupCounter) -> Config:
-    """The configuration; raises ConfigError where it cannot be used, or not be read for too long."""
-    until = time.monotonic() + HINDERED
+def read_initial_config(sighups: SighupCounter) -> Config:
+    """Reads the configuration at start-up and retries for LOCAL_ERROR_TIMEOUT after local errors.
+
+    Raises ConfigError if the configuration is invalid or still cannot be read then.
+    """
+    deadline = time.monotonic() + LOCAL_ERROR_TIMEOUT
     while True:
         try:
-            return read_config(again=hangups.seen > 0)
+            return read_config(again=sighups.count > 0)
         except ConfigError as err:
-            if not is_own_trouble(err.__cause__) or time.monotonic() > until:
+            if not is_own_trouble(err.__cause__) or time.monotonic() > deadline:
                 raise
-            time.sleep(START_PAUSE)
+            time.sleep(START_RETRY_INTERVAL)
 
 
 class Reloader:
-    """Reads the configuration again on SIGHUP. A long file is read between other work; while that goes on,
-    another SIGHUP begins it anew. One that cannot be used leaves the old configuration in force."""
+    """Reads the configuration again on SIGHUP and passes it to the gateway.
+
+    A long file is read in steps, between which the event loop goes on. Another SIGHUP in the meantime starts
+    the reading again. The current configuration stays in force if the new one cannot be used.
+    """
 
-    def __init__(self, node: GatewayService) -> None:
-        self.node = node
+    def __init__(self, service: GatewayService) -> None:
+        """Reads nothing until the first reload."""
+        self.service = service
         self.steps: Generator[None, None, Config] | None = None
-        self.again: asyncio.TimerHandle | None = None
-        self.tries = 0
+        self.retry_timer: asyncio.TimerHandle | None = None
+        self.retry_count = 0
 
     def reload(self) -> None:
-        """The file was replaced. A short one is in force when this returns."""
-        self.tries = 0
-        self.begin()
-
-    def begin(self) -> None:
-        """Reads it from its beginning."""
-        if self.again is not None:
-            self.again.cancel()
-            self.again = None
+        """Handles SIGHUP. A configuration that takes at most STEPS_PER_TURN steps is in force on return."""
+        self.retry_count = 0
+        self.start_reading()
+
+    def start_reading(self) -> None:
+        """Reads the file from its beginning."""
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
         self.steps = config_steps(again=True, keep_known=False)
-        self.proceed(self.steps)
+        self.continue_reading(self.steps)
 
-    def proceed(self, steps: Generator[None, None, Config]) -> None:
-        """Does the next step, unless another reading has begun since."""
+    def continue_reading(self, steps: Generator[None, None, Config]) -> None:
+        """Does the next steps, unless the reading was started again in the meantime."""
         if steps is not self.steps:
             return
         try:
@@ -129,28 +158,32 @@
                 next(steps)
         except StopIteration as end:
             self.steps = None
-            self.node.reload(end.value)
+            self.service.reload(end.value)
         except ConfigError as err:
             self.steps = None
-            logging.getLogger(__name__).error("the old configuration stays: %s", err)
+            logging.getLogger(__name__).error("the current configuration stays in force: %s", err)
             self.schedule_retry()
         else:
-            asyncio.get_running_loop().call_soon(self.proceed, steps)
+            asyncio.get_running_loop().call_soon(self.continue_reading, steps)
 
     def schedule_retry(self) -> None:
-        """The file may be just being written, or the system out of descriptors: nobody sends SIGHUP again."""
-        if self.tries < len(RELOAD_PAUSES):
-            pause = RELOAD_PAUSES[self.tries]
-            self.tries += 1
-            self.again = asyncio.get_running_loop().call_later(pause, self.begin)
+        """Schedules another reading of a file that could not be used, as no other SIGHUP will follow.
+
+        The file may be half written, or the system short of descriptors for a moment.
+        """
+        if self.retry_count < len(RELOAD_RETRY_DELAYS):
+            delay = RELOAD_RETRY_DELAYS[self.retry_count]
+            self.retry_count += 1
+            self.retry_timer = asyncio.get_running_loop().call_later(delay, self.start_reading)
 
 
-def main(hangups: SighupCounter) -> int:
+def main(sighups: SighupCounter) -> int:
+    """Runs the gateway process and returns its exit status: 0, or 2 after an error, which stderr names."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     logging.getLogger().handlers[0].addFilter(RateLimitFilter())
     try:
-        known = hangups.seen
-        uvloop.run(serve(read_at_start(hangups), hangups, known))
+        handled = sighups.count
+        uvloop.run(serve(read_initial_config(sighups), sighups, handled))
     except (ConfigError, OSError) as err:
         print(f"calicomast: {err}", file=sys.stderr)
         return 2
