--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -1,4 +1,4 @@
-"""Hosts, a counter and discovery that do as a test tells them, and a real gateway among them, on loopback."""
+"""Stub servers, counter and discovery that a test controls, and a real gateway that uses them on loopback."""
 
 import asyncio
 import functools
@@ -13,11 +13,12 @@
 from calicomast.net.gateway import GatewayService
 from emulator.virtual_loop import VirtualLoop
 
-PATIENCE = 20  # s for a test as a whole: far over what any needs
-TERMS = b"c=read,t=p,d=3000,units=1,spread=1,first=0"
-SERVER_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-CLIENT_REPLY = b"$5\r\nvalue\r\n"
+TEST_TIMEOUT = 20  # seconds for one test, far more than any needs
+DEFAULT_FIELDS = b"c=read,t=p,d=3000,units=1,spread=1,first=0"
+SERVER_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"  # from a server to the gateway
+CLIENT_REPLY = b"$5\r\nvalue\r\n"  # what the gateway then sends to its client
 
+# The settings tree of the configuration file; spans of time are in nanoseconds.
 SETTINGS = {
     "group_size": 1,
     "index": 0,
@@ -78,12 +79,12 @@
 
 
 def on_loop(test):
-    """Runs an async test on the loop that the gateway runs on."""
+    """Runs an async test on uvloop, as the gateway does, for at most TEST_TIMEOUT."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
         async def bounded():
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 await test(*args, **kwargs)
 
         uvloop.run(bounded())
@@ -92,7 +93,7 @@
 
 
 def in_virtual_time(test):
-    """Runs an async test that opens no sockets: what it takes is told by the program's own figures alone."""
+    """Runs an async test that opens no sockets in virtual time: its timers fire without waiting."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
@@ -102,23 +103,26 @@
     return run
 
 
-def command(id=b"r1", fields=TERMS, verb=b"API.READ", tenant=b"00000000b4d65521", body=None):
+def command(id=b"r1", fields=DEFAULT_FIELDS, verb=b"API.READ", tenant=b"00000000b4d65521", body=None):
+    """Encodes a command of a client."""
     parts = [verb, tenant, id, fields] + ([body] if body is not None else [])
-    return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(p), p) for p in parts)
+    return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
-def command_fields(**kw):
-    fields = dict(c="read", t="p", d="3000", units="1", spread="1", first="0") | kw
-    return ",".join(f"{k}={v}" for k, v in fields.items() if v is not None).encode()
+def command_fields(**overrides):
+    """Encodes the field list of a command with some fields replaced, or left out where the value is None."""
+    fields = dict(c="read", t="p", d="3000", units="1", spread="1", first="0") | overrides
+    return ",".join(f"{name}={value}" for name, value in fields.items() if value is not None).encode()
 
 
 def write_command(id=b"r1", cls=b"write", d=3000):
-    terms = b"c=%s,t=p,d=%d,k=77,units=1,spread=1,first=0" % (cls, d)
-    return command(id, terms, b"API.WRITE", body=b"BODY")
+    """Encodes an API.WRITE command of a service class; `d`: the client's deadline in milliseconds."""
+    fields = b"c=%s,t=p,d=%d,k=77,units=1,spread=1,first=0" % (cls, d)
+    return command(id, fields, b"API.WRITE", body=b"BODY")
 
 
 async def read_reply(reader):
-    """One answer as it stands on the wire; b"" at the end of the connection."""
+    """Reads one reply as it is on the wire; b"" at the end of the connection."""
     line = await reader.readline()
     if line.startswith(b"$"):
         line += await reader.readexactly(int(line[1:]) + 2)
@@ -126,7 +130,7 @@
 
 
 class StubListener:
-    """A listener on a free port of 127.0.0.1."""
+    """A listener on a free port of 127.0.0.1; a subclass serves each connection in `serve`."""
 
     def __init__(self):
         self.writers = []
@@ -137,6 +141,7 @@
         return self
 
     async def handle_connection(self, reader, writer):
+        """Serves one connection and closes it at the end."""
         self.writers.append(writer)
         try:
             await self.serve(reader, writer)
@@ -152,35 +157,42 @@
 
 
 class StubServer(StubListener):
-    """Answers each command with `answer` or what that returns; None: it keeps silent; b"": it breaks off."""
+    """A server that answers each command with `answer`, or with what that returns if it can be called.
+
+    None: it does not answer. b"": it closes the connection. `arrived` gets each command, and None at the end
+    of each connection.
+    """
 
     def __init__(self, answer=SERVER_REPLY):
         super().__init__()
         self.answer, self.commands, self.arrived = answer, [], asyncio.Queue()
-        self.open = 0
+        self.open_connections = 0
 
     async def serve(self, reader, writer):
+        """Reads the commands of one connection and answers them."""
         parser = hiredis.Reader(notEnoughData=...)
-        self.open += 1
+        self.open_connections += 1
         try:
             while data := await reader.read(65536):
                 parser.feed(data)
-                while (got := parser.gets()) is not ...:
-                    self.commands.append(got)
-                    self.arrived.put_nowait(got)
+                while (request := parser.gets()) is not ...:
+                    self.commands.append(request)
+                    self.arrived.put_nowait(request)
                     answer = self.answer() if callable(self.answer) else self.answer
                     if answer == b"":
                         return
                     if answer is not None:
                         writer.write(answer)
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             self.arrived.put_nowait(None)
 
 
 class SaturatedServer(StubServer):
-    """A host whose connections do not come up until `open` was called: its listener's queue is full, and the
-    system sends the first packet again a second later."""
+    """A server whose connections are not established before `accept_connections` is called.
+
+    The queue of its listener is full, and the system sends the first packet again a second later.
+    """
 
     async def __aenter__(self):
         self.listener = socket.socket()
@@ -193,25 +205,26 @@
             filler.connect_ex(("127.0.0.1", self.port))
         return self
 
-    async def make_room(self):
+    async def accept_connections(self):
+        """Closes the connections that fill the queue and starts to accept others."""
         for filler in self.fillers:
             filler.close()
         self.fillers = []
         self.server = await asyncio.start_server(self.handle_connection, sock=self.listener)
 
     async def __aexit__(self, *_):
-        if self.fillers:  # it never had room
-            await self.make_room()
+        if self.fillers:  # accept_connections was not called
+            await self.accept_connections()
         await super().__aexit__()
 
 
-def propagated_deadline_ms(host):
-    """The milliseconds that the last command told its host."""
-    return int(dict(term.split(b"=") for term in host.commands[-1][3].split(b","))[b"d"])
+def propagated_deadline_ms(server):
+    """Returns the remaining time, in milliseconds, that the last command propagated to its server."""
+    return int(dict(field.split(b"=") for field in server.commands[-1][3].split(b","))[b"d"])
 
 
 class StubCounter(StubListener):
-    """Keeps totals; `silent` leaves calls unanswered until `answer_all`."""
+    """A counter service; while `silent` is set, calls are not answered before `answer_all` is called."""
 
     def __init__(self):
         super().__init__()
@@ -219,35 +232,43 @@
         self.arrived = asyncio.Queue()
 
     async def serve(self, reader, writer):
+        """Answers the calls of one connection, or holds the replies back."""
         while line := await reader.readline():
-            words = line.split()
-            if words[0] == b"ping":
+            call = line.split()
+            if call[0] == b"ping":
                 writer.write(b"pong\r\n")
                 continue
-            self.calls.append(words)
-            self.totals[words[1]] = self.totals.get(words[1], 0) + float(words[2])
-            answer = b"ok %.7g\r\n" % self.totals[words[1]]
-            self.arrived.put_nowait(words)
+            self.calls.append(call)
+            self.totals[call[1]] = self.totals.get(call[1], 0) + float(call[2])
+            answer = b"ok %.7g\r\n" % self.totals[call[1]]
+            self.arrived.put_nowait(call)
             if self.silent:
                 self.held_replies.append((writer, answer))
             else:
                 writer.write(answer)
 
     def answer_all(self):
+        """Sends the replies that were held back."""
         for writer, answer in self.held_replies:
             writer.write(answer)
         self.held_replies = []
 
 
 class StubDiscovery:
-    """Serves `raw` where it is set, else the list; `changes` ends a watch; `silent`: it never answers;
-    `busy`: it turns so many calls away."""
+    """A discovery service that serves `servers` as its server list.
+
+    raw_response: the text of the next response, in place of the list.
+    changes: each item, a list of changed entries, ends a watch.
+    silent: whether calls are never answered.
+    busy_responses: how many of the next calls are answered with status 503.
+    """
 
     def __init__(self):
         self.servers, self.version, self.raw_response, self.silent = [], 1, None, False
         self.calls, self.changes, self.busy_responses = asyncio.Queue(), asyncio.Queue(), 0
 
     async def answer(self, request):
+        """Handles one GET of the server list."""
         self.calls.put_nowait(dict(request.query))
         if self.busy_responses:
             self.busy_responses -= 1
@@ -255,8 +276,8 @@
         if self.silent:
             await asyncio.Event().wait()
         if self.raw_response is not None:
-            raw, self.raw_response = self.raw_response, None
-            return web.Response(text=raw)
+            response, self.raw_response = self.raw_response, None
+            return web.Response(text=response)
         if "index" in request.query:
             try:
                 async with asyncio.timeout(int(request.query["wait"]) / 1000):
@@ -281,10 +302,11 @@
         await self.runner.cleanup()
 
 
-def server_entry(host, name="h1", state="up", port=None):
+def server_entry(server, name="h1", state="up", port=None):
+    """Returns the entry of a stub server in a server list."""
     return {
         "id": name,
-        "addr": f"127.0.0.1:{port or host.port}",
+        "addr": f"127.0.0.1:{port or server.port}",
         "zone": "a",
         "kind": "k",
         "cell": 0,
@@ -294,7 +316,8 @@
     }
 
 
-def gateway_config(listed, discovery_port, counter_port, settings=None):
+def gateway_config(servers, discovery_port, counter_port, settings=None):
+    """Returns the content of a configuration file of a gateway that knows these servers."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -302,26 +325,26 @@
         "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "counter": f"127.0.0.1:{counter_port}",
-        "known": {"version": 1, "full": True, "servers": listed},
+        "known": {"version": 1, "full": True, "servers": servers},
         "settings": settings or SETTINGS,
     }
 
 
 class GatewayHarness:
-    """A gateway with a counter and discovery of its own and the given hosts, named h1, h2 and so on."""
+    """A gateway with a stub counter, a stub discovery and the given stub servers, named h1, h2 and so on."""
 
-    def __init__(self, *hosts, path, settings=None):
-        self.hosts, self.path, self.settings = hosts, path, settings
+    def __init__(self, *servers, path, settings=None):
+        self.servers, self.path, self.settings = servers, path, settings
         self.counter, self.discovery, self.writers = StubCounter(), StubDiscovery(), []
 
     async def __aenter__(self):
         await self.counter.__aenter__()
         await self.discovery.__aenter__()
-        listed = [server_entry(h, f"h{n}") for n, h in enumerate(self.hosts, 1)]
-        self.discovery.servers = listed
+        entries = [server_entry(server, f"h{n}") for n, server in enumerate(self.servers, 1)]
+        self.discovery.servers = entries
         file = self.path / "config.json"
         file.write_text(
-            json.dumps(gateway_config(listed, self.discovery.port, self.counter.port, self.settings))
+            json.dumps(gateway_config(entries, self.discovery.port, self.counter.port, self.settings))
         )
         self.service = GatewayService(read_config({"RELAY_CONFIG": str(file)}))
         await self.service.start()
@@ -329,14 +352,15 @@
         return self
 
     async def connect(self):
+        """Opens a client connection to the gateway, which is closed at the end."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         self.writers.append(writer)
         return reader, writer
 
-    async def send_command(self, text):
-        """One command on a connection of its own; the answer."""
+    async def send_command(self, encoded):
+        """Sends one encoded command on a connection of its own and returns the reply."""
         reader, writer = await self.connect()
-        writer.write(text)
+        writer.write(encoded)
         reply = await read_reply(reader)
         writer.close()
         return reply
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -360,7 +360,7 @@
         asked = time.monotonic()
         await asyncio.sleep(0.6)
         waited = time.monotonic() - asked  # it cannot have come up before
-        await host.make_room()
+        await host.accept_connections()
         assert await read_reply(reader) == CLIENT_REPLY
         assert propagated_deadline_ms(host) <= 3000 - 1000 * waited + 150
 
@@ -380,6 +380,6 @@
             first.writers[0].close()  # it may have run: its repeat has a window
             while not (pool := node.service.server_connections.pools.get("h2")) or not pool.coming:
                 await asyncio.sleep(0.01)
-            await late.make_room()
+            await late.accept_connections()
             assert (await asked).startswith(b"-ERR")
             assert not late.commands
