--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -1,7 +1,9 @@
-"""Feeds what happens on the sockets to the one decision module and carries out what it decides.
+"""Connects the network side of the gateway to the policy.
 
-Nothing here decides. This file owns the timers and each request's single final answer. Each event and action
-of interface.py has its place here, but for Began and Message: the sockets know no streams and no peers.
+The service turns events on sockets into events of the policy and carries out the actions that the policy
+returns; it takes no decisions itself. It owns the timers and sends each request's single final answer. It
+handles every event and action of interface.py except Began and Message, as this network side has neither
+streaming responses nor messages between peers.
 """
 
 from __future__ import annotations
@@ -33,22 +35,29 @@
     may_take_request,
 )
 
-RESPONSE_MARGIN = 0.03  # s before the client gives up by which the module is to be done
-# s after it for which an answer is still worth nothing but is one; later the request is lost
+# Times of a request, in seconds.
+RESPONSE_MARGIN = 0.03  # time before the client's deadline by which the policy must be done with a request
+DEADLINE_GUARD_MARGIN = 0.01  # time before that deadline at which a request without an answer is failed
+# Time after the deadline in which an answer has no value but still counts as one; later the request is lost.
 LATE_ANSWER_GRACE = 0.55
-# s before that by which a request without an answer is failed, whatever the module does
-DEADLINE_GUARD_MARGIN = 0.01
-BASE_MEMORY_BYTES = 40 * 1024 * 1024  # bytes that the program takes itself, with some to spare
-LEAST_HELD = 4 * 1024 * 1024  # bytes of bodies, and as many of half commands, that there is always room for
-MIN_SERVER_LIST_BYTES = 1024 * 1024  # bytes of a list of servers that there is always room for
-LIST_PART = 4  # part of the memory beyond the program's own that the text of a list may have
-LONG_LIST = 1000  # servers
-SPARE_SOCKETS = 64  # descriptors that are neither clients' nor hosts' connections
-LINGER = 0.5  # s after SIGTERM in which connections still come
-KILL_MOST, KILL_MORE = 3.0, 0.7  # s to SIGKILL: the longest deadline, so long at most, and as much more
-KILL_MARGIN = 0.3  # s before SIGKILL by which everything is answered
-# s for the last answers to be written; between looks whether all is done
-FINAL_FLUSH_TIMEOUT, STEP = 0.1, 0.01
+
+# Memory, in bytes.
+BASE_MEMORY_BYTES = 40 * 1024 * 1024  # used by the process itself, with some reserve
+MIN_HELD_BYTES = 4 * 1024 * 1024  # lower bound of the limits for request bodies and for incomplete commands
+MIN_SERVER_LIST_BYTES = 1024 * 1024  # lower bound of the size limit of a server list
+SERVER_LIST_MEMORY_DIVISOR = 4  # the text of a server list may take this part of the memory above the base
+
+LONG_SERVER_LIST = 1000  # servers
+RESERVED_DESCRIPTORS = 64  # file descriptors for everything but the connections of clients and servers
+
+# Shutdown, in seconds.
+LINGER = 0.5  # time after SIGTERM in which new connections are still accepted
+# SIGKILL follows SIGTERM after the longest deadline, at most MAX_DEADLINE_BEFORE_KILL, plus KILL_GRACE.
+MAX_DEADLINE_BEFORE_KILL = 3.0
+KILL_GRACE = 0.7
+KILL_MARGIN = 0.3  # time before SIGKILL by which every request must be answered
+FINAL_FLUSH_TIMEOUT = 0.1  # time for the last answers to be written
+IDLE_POLL_INTERVAL = 0.01
 
 BUSY = b"-BUSY\r\n"
 PONG = b"+PONG\r\n"
@@ -57,42 +66,52 @@
 
 
 def max_server_list_bytes(memory: int) -> int:
-    """Bytes that a list of servers may have where so many bytes of memory may be taken: what is held of an
-    entry takes about three times its text."""
-    return max(MIN_SERVER_LIST_BYTES, (memory - BASE_MEMORY_BYTES) // LIST_PART)
+    """Returns the size limit of a server list for a process that may use `memory` bytes.
+
+    An entry takes about three times its text in memory.
+    """
+    return max(MIN_SERVER_LIST_BYTES, (memory - BASE_MEMORY_BYTES) // SERVER_LIST_MEMORY_DIVISOR)
 
 
 class GatewayService:
+    """One gateway: its policy, its active requests and its connections to all other processes."""
+
     def __init__(self, config: Config) -> None:
-        self.config, self.settings, self.clock = config, config.settings, Clock()
+        """Creates all parts; nothing is connected before `start`."""
+        self.config = config
+        self.settings = config.settings
+        self.clock = Clock()
         self.loop = asyncio.get_running_loop()
         self.policy = Gateway(config.settings, config.seed, self.clock())
         self.active_requests: dict[str, Work] = {}
-        self.held_body_bytes = 0  # bytes of bodies in work
+        self.held_body_bytes = 0  # of active requests
         self.events: deque[api.Event] = deque()
-        self.feeding = self.ready = False
+        self.dispatching = False  # whether submit_event is processing queued events
+        self.ready = False  # whether there has been a server to send to
         self.state = ProcessState.SERVING
         self.event_log = EventLog()
-        longest = self.longest = max(cls.deadline for cls in self.settings.classes.values())
-        self.shutdown_timeout = min(longest, KILL_MOST) + KILL_MORE - min(KILL_MARGIN, longest / 2)
-        room = max(config.sockets - SPARE_SOCKETS, config.sockets // 2)
-        # Bodies in work and half commands are bounded: past the limit of memory the program is killed.
-        self.most_held = max(LEAST_HELD, (config.memory - BASE_MEMORY_BYTES) // 4)
-        self.clients = ClientServer(self, room // 2, self.most_held, self.event_log)
+        longest = self.longest_deadline = max(cls.deadline for cls in self.settings.classes.values())
+        self.shutdown_timeout = (
+            min(longest, MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE - min(KILL_MARGIN, longest / 2)
+        )
+        descriptors = max(config.sockets - RESERVED_DESCRIPTORS, config.sockets // 2)
+        # Request bodies and incomplete commands are bounded: the process is killed above its memory limit.
+        self.max_held_bytes = max(MIN_HELD_BYTES, (config.memory - BASE_MEMORY_BYTES) // 4)
+        self.clients = ClientServer(self, descriptors // 2, self.max_held_bytes, self.event_log)
         self.server_table = ServerTable(
-            self.feed, lambda server: self.server_connections.stop(server), self.clock.started
+            self.submit_event, lambda server: self.server_connections.stop(server), self.clock.started
         )
         self.server_connections = Hosts(
-            config.connect_timeout, config.idle_close, room // 2, self.server_table.address
+            config.connect_timeout, config.idle_close, descriptors // 2, self.server_table.address
         )
-        self.control = AttemptControl(
+        self.attempt_control = AttemptControl(
             config.settings, self.clock, self.server_table.listed, self.admits_late, self.event_log
         )
         self.counter = Counter(config.counter, self.settings.counter_timeout) if config.counter else None
         self.max_server_list_bytes = max_server_list_bytes(config.memory)
-        self.discovery_generation = 0  # discoveries that were named one after another
-        self.discovery = self.new_discovery(config, config.known.version, held=bool(config.known.entries))
-        self.endings: set[asyncio.Task[None]] = set()  # what a new configuration replaced, until it has ended
+        self.discovery_generation = 0  # number of discovery clients created so far
+        self.discovery = self.create_discovery(config, config.known.version, held=bool(config.known.entries))
+        self.closing_tasks: set[asyncio.Task[None]] = set()  # of discovery clients that were replaced
         self.actions = {
             api.Send: self.send,
             api.Refuse: self.refuse,
@@ -101,14 +120,14 @@
             api.Count: self.count,
             api.SetTimer: self.set_timer,
             api.Probe: self.probe,
-            api.Close: lambda a: self.server_connections.close_idle(a.host),
-            api.Fetch: lambda a: self.discovery.fetch(),
-            api.Watch: lambda a: self.discovery.watch(a.on),
-            api.Log: lambda a: log.info("module: %s", a.text),
+            api.Close: lambda action: self.server_connections.close_idle(action.host),
+            api.Fetch: lambda action: self.discovery.fetch(),
+            api.Watch: lambda action: self.discovery.watch(action.on),
+            api.Log: lambda action: log.info("policy: %s", action.text),
         }
 
     async def start(self) -> None:
-        """All but the listener: before the first client comes the module knows its hosts."""
+        """Starts everything but the listener, so that the policy knows the servers before clients connect."""
         for _ in self.apply_server_list(self.config.known):
             pass
         self.server_connections.start_checks()
@@ -118,36 +137,38 @@
             self.discovery.watch(True)
 
     async def listen(self) -> int:
-        """Returns the port that clients connect to."""
+        """Listens for clients and returns the port."""
         return await self.clients.listen(*self.config.listen)
 
     def reload(self, config: Config) -> None:
-        """Goes over to the addresses of a new configuration. The rest of it holds from the next start on."""
+        """Applies the addresses in a new configuration. Its other settings take effect at the next start."""
         if self.stopping:
             self.event_log.tell(Kind.CONFIGURATION, Verdict.SHUTTING_DOWN.value)
             return
         old, self.config = self.config, config
         if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
-            log.warning("only new addresses of discovery and counter are taken up before the next start")
+            log.warning("only the addresses of discovery and counter are reloaded; the rest needs a restart")
         if self.counter and config.counter:
             self.counter.move(config.counter)
         replaced = self.discovery
-        self.discovery = self.new_discovery(config, replaced.version, held=False)
-        if replaced.watching:  # the watch begins with the whole list: another service has versions of its own
+        self.discovery = self.create_discovery(config, replaced.version, held=False)
+        if replaced.watching:
+            # The new watch begins with the full list, as each discovery service has versions of its own.
             self.discovery.watch(True)
-        ending = self.loop.create_task(replaced.close())
-        self.endings.add(ending)
-        ending.add_done_callback(self.endings.discard)
+        closing = self.loop.create_task(replaced.close())
+        self.closing_tasks.add(closing)
+        closing.add_done_callback(self.closing_tasks.discard)
         log.info("new configuration: discovery %s:%d", *config.discovery)
 
-    def new_discovery(self, config: Config, version: int, held: bool) -> Discovery:
+    def create_discovery(self, config: Config, version: int, held: bool) -> Discovery:
+        """Creates the client of the discovery service that a configuration names."""
         self.discovery_generation += 1
-        source = self.discovery_generation
+        generation = self.discovery_generation
         return Discovery(
             config.discovery,
             version,
-            lambda listing: self.apply_server_list(listing, source),
-            self.list_failed,
+            lambda server_list: self.apply_server_list(server_list, generation),
+            self.handle_fetch_failure,
             held=held,
             grace=self.settings.rules.drain_grace,
             most=self.max_server_list_bytes,
@@ -156,82 +177,92 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether SIGTERM was heard."""
+        """Whether SIGTERM was received."""
         return self.state is not ProcessState.SERVING
 
     @property
     def refusing(self) -> bool:
-        """Whether what is still read is refused at once."""
+        """Whether new requests are refused at once."""
         return self.state in (ProcessState.REFUSING, ProcessState.ENDED)
 
-    def become(self, state: ProcessState) -> None:
+    def set_state(self, state: ProcessState) -> None:
         """Changes the state of the process."""
         self.state = change(self.state, state)
 
     # Events
 
-    def feed(self, event: api.Event) -> None:
-        """Hands events over one after another: what an action causes at once waits its turn."""
+    def submit_event(self, event: api.Event) -> None:
+        """Passes an event to the policy, behind any events whose processing is not finished."""
         self.events.append(event)
-        if self.feeding:
+        if self.dispatching:
             return
-        self.feeding = True
+        self.dispatching = True
         try:
             while self.events:
-                self.handle(self.events.popleft())
+                self.process_event(self.events.popleft())
         finally:
-            self.feeding = False
+            self.dispatching = False
 
-    def handle(self, event: api.Event) -> None:
+    def process_event(self, event: api.Event) -> None:
+        """Passes one event to the policy and carries out its actions."""
         try:
             actions = self.policy.handle(self.clock(), event)
-        except Exception:  # one request must not take the others along
-            log.exception("the module failed on %s", type(event).__name__)
+        except Exception:  # an error for one request must not affect the others
+            log.exception("policy failed on %s", type(event).__name__)
             if isinstance(event, api.Request | api.Outcome) and event.id in self.active_requests:
                 self.abort_request(self.active_requests[event.id], "module failed")
             return
         for action in actions:
             try:
                 self.actions[type(action)](action)
-            except Exception:  # nor one action the rest; the guard answers what it was for
-                log.exception("%r could not be carried out", action)
+            except Exception:  # the other actions go on; a request left open is failed at its deadline
+                log.exception("action failed: %r", action)
 
     def abort_request(self, work: Work, reason: str) -> None:
-        """Fails a request by itself and lets the module forget it."""
+        """Fails a request without a decision of the policy and makes the policy drop it."""
         if not work.over:
-            self.tell_end(Kind.REQUEST_FAILED, reason, work)
+            self.log_request_end(Kind.REQUEST_FAILED, reason, work)
         self.finish_request(work, FAILED)
         for attempt in list(work.live.values()):
             self.server_connections.give_up(attempt, "cancelled")
-        self.feed(api.Gone(work.id))
-
-    def apply_server_list(self, listing: Listing, source: int = 0) -> Iterator[None]:
-        """Takes a list of servers over in slices; raises ValueError if it may not be put in force. `source`:
-        the number of the discovery that told it; 0 for the configuration."""
-        self.check_server_list(listing, source)
-        long = len(listing.entries) > LONG_LIST
-        for _ in self.server_table.take(listing):
+        self.submit_event(api.Gone(work.id))
+
+    def apply_server_list(self, server_list: Listing, generation: int = 0) -> Iterator[None]:
+        """Applies a server list in slices, one at each step of the iterator.
+
+        Args:
+            generation: the number of the discovery client that received the list; 0 for the configuration.
+
+        Raises:
+            ValueError: the list may not be applied.
+        """
+        self.check_server_list(server_list, generation)
+        is_long = len(server_list.entries) > LONG_SERVER_LIST
+        for _ in self.server_table.take(server_list):
             yield
-            self.check_server_list(listing, source)  # the configuration may have named another meanwhile
+            # A reload may have replaced the discovery client since.
+            self.check_server_list(server_list, generation)
         self.ready = self.ready or self.server_table.any_to_send_to()
-        if long:
-            gc.freeze()  # most of it stays for good: no collection need look at it again
+        if is_long:
+            gc.freeze()  # most of the list stays in memory: no collection needs to scan it
 
-    def check_server_list(self, listing: Listing, source: int) -> None:
-        """Raises ValueError if a list may not be put in force, or not be gone on with."""
+    def check_server_list(self, server_list: Listing, generation: int) -> None:
+        """Raises ValueError if a server list may not be applied, or not any further."""
         try:
-            self.server_table.check(listing, source_current=source in (0, self.discovery_generation))
+            self.server_table.check(server_list, source_current=generation in (0, self.discovery_generation))
         except ValueError as err:
-            self.event_log.tell(Kind.LIST_NOT_APPLIED, str(err), version=listing.version)
+            self.event_log.tell(Kind.LIST_NOT_APPLIED, str(err), version=server_list.version)
             raise
 
-    def list_failed(self) -> None:
+    def handle_fetch_failure(self) -> None:
+        """Tells the policy that discovery did not send a list that it asked for."""
         if self.settings.discovery == "ask":
-            self.feed(api.HostList("failed", self.discovery.version, ()))
+            self.submit_event(api.HostList("failed", self.discovery.version, ()))
 
     # Clients
 
     def handle_command(self, slot: Slot, command: object) -> None:
+        """Handles a command that a client sent: PING, or a request."""
         if command == [b"PING"] or command == [b"ping"]:
             slot.reply(PONG if self.ready and not self.stopping else b"-ERR not ready\r\n")
             return
@@ -241,13 +272,13 @@
             self.event_log.note(Kind.REQUEST_NOT_TAKEN, str(err))
             slot.reply(b"-ERR %s\r\n" % str(err).encode())
         except Exception:
-            log.exception("a command could not be taken")
+            log.exception("command failed")
             if slot.answer is None:
                 slot.reply(FAILED)
 
-    def accept_request(self, slot: Slot, told: object) -> None:
-        """Takes a request on, or refuses it at once; raises BadRequest."""
-        command = check_form(told)
+    def accept_request(self, slot: Slot, message: object) -> None:
+        """Accepts a request and submits it to the policy, or refuses it at once. Raises BadRequest."""
+        command = check_form(message)
         request = read_request(command, self.settings, RESPONSE_MARGIN + slot.client.waited())
         if request.id in self.active_requests:
             raise BadRequest("this id is in work")
@@ -256,7 +287,7 @@
             in_work=len(self.active_requests),
             most_in_work=self.config.max_open,
             held=self.held_body_bytes,
-            most_held=self.most_held,
+            most_held=self.max_held_bytes,
         )
         if verdict is not Verdict.ALLOWED:
             self.event_log.note(Kind.REQUEST_REFUSED, verdict.value)
@@ -264,31 +295,29 @@
             return
         now = time.monotonic()
         work = Work(request.id, slot, command, now + request.left)
-        slot.token, slot.due = (
-            work,
-            now + min(request.left + RESPONSE_MARGIN, self.longest) + LATE_ANSWER_GRACE,
-        )
+        slot.token = work
+        slot.due = now + min(request.left + RESPONSE_MARGIN, self.longest_deadline) + LATE_ANSWER_GRACE
         self.active_requests[request.id] = work
         self.held_body_bytes += len(command[-1])
         work.guard = self.loop.call_later(
             max(0.0, request.left + RESPONSE_MARGIN - DEADLINE_GUARD_MARGIN), self.fail_overdue, work
         )
-        self.feed(request)
+        self.submit_event(request)
 
     def handle_client_gone(self, slot: Slot) -> None:
-        """The client went away: nothing more is sent for its request."""
+        """Ends a request whose client has gone: nothing more is sent for it."""
         work = slot.token
         if work is not None and not work.over:
             self.finish_request(work, b"")
-            self.feed(api.Gone(work.id))
+            self.submit_event(api.Gone(work.id))
 
     def fail_overdue(self, work: Work) -> None:
-        """Guards the client's deadline against a module that says nothing."""
+        """Fails a request just before its client's deadline, if the policy has not answered it."""
         if not work.over:
             self.abort_request(work, "no decision before its deadline")
 
     def finish_request(self, work: Work, answer: bytes) -> None:
-        """The one place where a request gets its final answer."""
+        """Sends a request's final answer; nothing else does. An empty answer sends nothing."""
         if work.over:
             return
         work.become(RequestState.ANSWERED)
@@ -299,33 +328,40 @@
         for attempt in list(work.live.values()):
             if not attempt.written:  # after the final answer nothing more is sent
                 self.server_connections.give_up(attempt, "cancelled")
-        self.forget(work)
+        self.remove_if_done(work)
 
-    def forget(self, work: Work) -> None:
+    def remove_if_done(self, work: Work) -> None:
+        """Removes a request that has been answered and has no attempt left."""
         if work.over and not work.live and self.active_requests.pop(work.id, None):
             work.become(RequestState.FORGOTTEN)
             self.held_body_bytes -= len(work.command[-1])
 
-    def tell_end(self, kind: Kind, reason: str, work: Work) -> None:
-        """Notes why a request is given up."""
+    def log_request_end(self, kind: Kind, reason: str, work: Work) -> None:
+        """Logs why a request was refused or failed."""
         client = work.slot.client
         ids = {"id": work.id, "connection": client.number, "state": client.state.value}
         self.event_log.tell(kind, reason, **ids, attempts=work.begun)
 
-    # Actions
+    # Actions: one method for each class of actions, and the callbacks of what they start
 
     def refuse(self, action: api.Refuse) -> None:
+        """Refuses a request and tells the client when to retry, in milliseconds."""
         if action.id in self.active_requests:
-            self.tell_end(Kind.REQUEST_REFUSED, action.reason, self.active_requests[action.id])
-            wait = math.ceil(action.retry_after * 1000)
-            self.finish_request(self.active_requests[action.id], b"-BUSY %d\r\n" % wait if wait > 0 else BUSY)
+            self.log_request_end(Kind.REQUEST_REFUSED, action.reason, self.active_requests[action.id])
+            retry_after_ms = math.ceil(action.retry_after * 1000)
+            self.finish_request(
+                self.active_requests[action.id],
+                b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else BUSY,
+            )
 
     def fail(self, action: api.Fail) -> None:
+        """Answers a request with an error."""
         if action.id in self.active_requests:
-            self.tell_end(Kind.REQUEST_FAILED, action.reason, self.active_requests[action.id])
+            self.log_request_end(Kind.REQUEST_FAILED, action.reason, self.active_requests[action.id])
             self.finish_request(self.active_requests[action.id], FAILED)
 
     def send(self, action: api.Send) -> None:
+        """Starts an attempt of a request at a server, if the rules still allow it."""
         work = self.active_requests.get(action.id)
         if work is None or work.over:
             return
@@ -333,35 +369,40 @@
         work.sends += 1
         attempt = Attempt(action.host, self.prepare_payload, self.attempt_done, (work, number))
         attempt.repeat_until, attempt.cold = action.repeat_until, action.cold
-        verdict = self.control.judge(attempt, late=False)
+        verdict = self.attempt_control.judge(attempt, late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
                 self.finish_request(work, b"")
-            self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
+            self.submit_event(api.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
             return
         work.live[number] = attempt
-        attempt.judged = True  # for as long as this step lasts
-        left = work.deadline - time.monotonic()
-        self.server_connections.send(attempt, min(left, action.timeout) if action.timeout > 0 else left)
+        attempt.judged = True  # valid only during this call
+        remaining = work.deadline - time.monotonic()
+        self.server_connections.send(
+            attempt, min(remaining, action.timeout) if action.timeout > 0 else remaining
+        )
         attempt.judged = False
 
     def admits_late(self, now: float, id: str, number: int, server: str) -> bool:
-        """Asks the module about an attempt at a cold server whose connection came up late."""
+        """Asks the policy whether slow start allows an attempt whose connection was established late."""
         return self.policy.admits_late(now, id, number, server)
 
     def prepare_payload(self, attempt: Attempt) -> bytes | None:
-        """What goes to the server, worked out as its connection is there to be written to; None if it may not
-        be sent any more."""
+        """Returns the bytes to send to the server, or None if the attempt may not be sent any more.
+
+        Called when its connection is ready to be written to.
+        """
         work, _ = attempt.tag
         if not attempt.judged:
-            verdict = self.control.judge(attempt, late=True)
+            verdict = self.attempt_control.judge(attempt, late=True)
             if verdict is not Verdict.ALLOWED:
                 if verdict is Verdict.CLIENT_GONE:
                     self.handle_client_gone(work.slot)
                 return None
-        return self.control.write(attempt)
+        return self.attempt_control.write(attempt)
 
     def attempt_done(self, attempt: Attempt) -> None:
+        """Answers the request of an attempt that has ended, if it succeeded, and reports it to the policy."""
         work, number = attempt.tag
         result, over = attempt.result, work.over
         del work.live[number]
@@ -369,11 +410,11 @@
             ids = {"id": work.id, "attempt": number, "server": attempt.host, "state": work.state.value}
             self.event_log.tell(Kind.ATTEMPT_ENDED, result, **ids)
         if over and (result == "connect_failed" or result in api.NEVER_BEGAN):
-            result = "moot"  # called off before it was sent, which says nothing of the host
+            result = "moot"  # cancelled before it was sent, which says nothing about the server
         elif result == "ok" and not over:
             self.finish_request(work, bulk(attempt.value))
-        self.forget(work)
-        self.feed(
+        self.remove_if_done(work)
+        self.submit_event(
             api.Outcome(
                 work.id,
                 number,
@@ -387,66 +428,78 @@
         )
 
     def cancel(self, action: api.Cancel) -> None:
+        """Cancels one attempt."""
         work = self.active_requests.get(action.id)
         if work is not None and action.attempt in work.live:
             self.server_connections.give_up(work.live[action.attempt], "cancelled")
 
     def probe(self, action: api.Probe) -> None:
-        self.server_connections.probe(action.host, self.probed)
+        """Starts a probe of a server."""
+        self.server_connections.probe(action.host, self.handle_probe_result)
 
-    def probed(self, attempt: Attempt) -> None:
-        self.feed(api.Probed(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
+    def handle_probe_result(self, attempt: Attempt) -> None:
+        """Reports a probe that has ended to the policy."""
+        self.submit_event(api.Probed(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
 
     def count(self, action: api.Count) -> None:
+        """Calls the counter service; without one the call fails in the next turn of the event loop."""
         if self.counter is None:
-            self.loop.call_soon(self.counted, action.name, "connect_failed", 0.0, 0.0)
+            self.loop.call_soon(self.handle_counter_result, action.name, "connect_failed", 0.0, 0.0)
         else:
-            self.counter.add(action.name, action.amount, action.lifetime, self.counted)
+            self.counter.add(action.name, action.amount, action.lifetime, self.handle_counter_result)
 
-    def counted(self, name: int, result: str, total: float, elapsed: float) -> None:
-        self.feed(api.Counted(name, result, total, elapsed))
+    def handle_counter_result(self, name: int, result: str, total: float, elapsed: float) -> None:
+        """Reports a call of the counter service that has ended to the policy."""
+        self.submit_event(api.Counted(name, result, total, elapsed))
 
     def set_timer(self, action: api.SetTimer) -> None:
-        self.loop.call_later(action.delay, self.due, action.label, self.clock() + action.delay)
-
-    def due(self, label: int, at: float) -> None:
-        """The loop's timers tick in milliseconds and may fire early; the module would take an early one for
-        another and set no further."""
-        left = at - self.clock()
-        if left > 0:
-            self.loop.call_later(left + 0.001, self.due, label, at)
+        """Sets a timer of the policy."""
+        self.loop.call_later(action.delay, self.fire_timer, action.label, self.clock() + action.delay)
+
+    def fire_timer(self, label: int, at: float) -> None:
+        """Submits a timer event once its time has come.
+
+        The event loop's timers have a resolution of a millisecond and may fire early. The policy would take
+        an early one for another timer and set no further one.
+        """
+        remaining = at - self.clock()
+        if remaining > 0:
+            self.loop.call_later(remaining + 0.001, self.fire_timer, label, at)
         else:
-            self.feed(api.Timer(label))
+            self.submit_event(api.Timer(label))
 
-    # The end
+    # Shutdown
 
     async def stop(self) -> None:
-        """After SIGTERM: goes on while connections still come, then finishes what it has taken. Clients send
-        on each connection that is open, so each is closed where nothing on it is in work or unread."""
-        began = time.monotonic()
-        self.become(ProcessState.LINGERING)
+        """Shuts down after SIGTERM.
+
+        New connections are accepted for LINGER, then the accepted requests are finished. Clients send on any
+        connection that is open, so each is closed as soon as it has no active request and no unread bytes.
+        """
+        started_at = time.monotonic()
+        self.set_state(ProcessState.LINGERING)
         await asyncio.sleep(LINGER)
         await self.clients.no_more()
-        self.become(ProcessState.FINISHING)
+        self.set_state(ProcessState.FINISHING)
         self.clients.finish()
-        await self.idle(began + self.shutdown_timeout)
-        self.become(ProcessState.REFUSING)
+        await self.wait_until_idle(started_at + self.shutdown_timeout)
+        self.set_state(ProcessState.REFUSING)
         for work in list(self.active_requests.values()):
             self.abort_request(work, Verdict.SHUTTING_DOWN.value)
-        await self.idle(time.monotonic() + FINAL_FLUSH_TIMEOUT)
-        self.become(ProcessState.ENDED)
+        await self.wait_until_idle(time.monotonic() + FINAL_FLUSH_TIMEOUT)
+        self.set_state(ProcessState.ENDED)
         self.clients.close()
         self.server_connections.close()
         if self.counter:
             self.counter.close()
-        await asyncio.gather(self.discovery.close(), *self.endings)
+        await asyncio.gather(self.discovery.close(), *self.closing_tasks)
         self.log_counts()
 
     def log_counts(self) -> None:
-        """Logs what ended and why since the start, and the violations."""
+        """Logs the counts of events by reason since the start, and the violations."""
         log.info("counts %s", self.event_log.summary())
 
-    async def idle(self, until: float) -> None:
-        """Waits for nothing to be in work, and all answers to be written and their connections closed."""
-        while (self.active_requests or self.clients.clients) and time.monotonic() < until:
-            await asyncio.sleep(STEP)
+    async def wait_until_idle(self, deadline: float) -> None:
+        """Waits until no request is active and all client connections are closed, or until the deadline."""
+        while (self.active_requests or self.clients.clients) and time.monotonic() < deadline:
+            await asyncio.sleep(IDLE_POLL_INTERVAL)
