--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -1,4 +1,4 @@
-"""Each request's one answer, the module's failures, timers, the end."""
+"""Tests of the gateway service: final answers, failures of the policy, timers, attempts and shutdown."""
 
 import asyncio
 import logging
@@ -28,177 +28,186 @@
 
 
 @on_loop
-async def test_serves_the_value_as_the_host_gave_it(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        host.answer = b"*3\r\n$6\r\na\r\nb\x00c\r\n:42\r\n$18\r\nactive=1,waiting=0\r\n"
-        assert await node.send_command(command()) == b"$6\r\na\r\nb\x00c\r\n"
-        assert host.commands[0][:3] == [b"API.READ", b"00000000b4d65521", b"r1"]
-        fields = dict(f.split(b"=") for f in host.commands[0][3].split(b","))
-        assert 0 < int(fields.pop(b"d")) < 3000  # as long as the gateway waits, less than the client does
+async def test_value_is_returned_as_the_server_sent_it(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        server.answer = b"*3\r\n$6\r\na\r\nb\x00c\r\n:42\r\n$18\r\nactive=1,waiting=0\r\n"
+        assert await harness.send_command(command()) == b"$6\r\na\r\nb\x00c\r\n"
+        assert server.commands[0][:3] == [b"API.READ", b"00000000b4d65521", b"r1"]
+        fields = dict(field.split(b"=") for field in server.commands[0][3].split(b","))
+        # The gateway waits for less time than the client.
+        assert 0 < int(fields.pop(b"d")) < 3000
         assert fields == {b"c": b"read", b"t": b"p", b"units": b"1", b"spread": b"1", b"first": b"0"}
 
 
 @on_loop
-async def test_a_silent_host_is_answered_for_before_the_client_gives_up(tmp_path, monkeypatch):
-    monkeypatch.setattr(gateway, "RESPONSE_MARGIN", 2.0)  # a margin that no busy machine eats up
-    async with StubServer(answer=None) as host, GatewayHarness(host, path=tmp_path) as node:
-        began = time.monotonic()
-        # it may have run: no refusal
-        assert (await node.send_command(write_command(cls=b"note", d=2300))).startswith(b"-ERR")
-        assert time.monotonic() - began < 2.3
-        assert len(host.commands) == 1
+async def test_request_to_a_silent_server_fails_before_the_client_deadline(tmp_path, monkeypatch):
+    monkeypatch.setattr(gateway, "RESPONSE_MARGIN", 2.0)  # large enough for a busy machine
+    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        started_at = time.monotonic()
+        # The request may have run, so the reply is an error and not a refusal.
+        assert (await harness.send_command(write_command(cls=b"note", d=2300))).startswith(b"-ERR")
+        assert time.monotonic() - started_at < 2.3
+        assert len(server.commands) == 1
 
 
 @on_loop
-async def test_a_refusal_tells_when_to_come_back_at_once(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        small, replies = command_fields(t="small"), []
-        began = time.monotonic()
+async def test_refusal_is_immediate_and_names_a_retry_time(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        small_plan, replies = command_fields(t="small"), []
+        started_at = time.monotonic()
         for n in range(4):
-            replies.append(await node.send_command(command(b"r%d" % n, fields=small)))
+            replies.append(await harness.send_command(command(b"r%d" % n, fields=small_plan)))
         assert replies[0] == CLIENT_REPLY and replies[-1].startswith(b"-BUSY ")
         assert 0 < int(replies[-1].split()[1]) <= 2000
-        assert time.monotonic() - began < 3.0
+        assert time.monotonic() - started_at < 3.0
 
 
 @on_loop
-async def test_an_exception_in_the_module_fails_that_request_only(tmp_path, caplog):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        module, real = node.service.policy, node.service.policy.handle
+async def test_exception_in_the_policy_fails_only_its_request(tmp_path, caplog):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        policy, handle = harness.service.policy, harness.service.policy.handle
 
-        class Broken:
+        class FailingPolicy:
             def handle(self, now, event):
                 if getattr(event, "id", "") == "bad":
                     raise RuntimeError("broken")
-                return real(now, event)
+                return handle(now, event)
 
-        node.service.policy = Broken()
+        harness.service.policy = FailingPolicy()
         with caplog.at_level(logging.CRITICAL):
-            assert await node.send_command(command(b"bad")) == b"-ERR failed\r\n"
-            assert await node.send_command(command(b"good")) == CLIENT_REPLY
-        assert module.requests == {} and not node.service.active_requests
+            assert await harness.send_command(command(b"bad")) == b"-ERR failed\r\n"
+            assert await harness.send_command(command(b"good")) == CLIENT_REPLY
+        assert policy.requests == {} and not harness.service.active_requests
 
 
 @on_loop
-async def test_a_module_that_says_nothing_does_not_lose_the_request(tmp_path, monkeypatch):
-    monkeypatch.setattr(gateway, "DEADLINE_GUARD_MARGIN", 2.0)  # as above
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+async def test_request_without_a_policy_decision_fails_before_its_deadline(tmp_path, monkeypatch):
+    monkeypatch.setattr(gateway, "DEADLINE_GUARD_MARGIN", 2.0)  # large enough for a busy machine
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
 
-        class Mute:
+        class SilentPolicy:
             def handle(self, now, event):
                 return []
 
-        node.service.policy = Mute()
-        began = time.monotonic()
-        assert await node.send_command(command(fields=command_fields(d="2300"))) == b"-ERR failed\r\n"
-        assert time.monotonic() - began < 2.3
+        harness.service.policy = SilentPolicy()
+        started_at = time.monotonic()
+        assert await harness.send_command(command(fields=command_fields(d="2300"))) == b"-ERR failed\r\n"
+        assert time.monotonic() - started_at < 2.3
 
 
 @on_loop
-async def test_a_timer_never_reaches_the_module_early(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+async def test_timer_events_are_never_early(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
 
-        class Clocked:
+        class TimerRecorder:
             def __init__(self):
-                self.early, self.seen, self.done = [], 0, asyncio.Event()
+                self.early, self.count, self.done = [], 0, asyncio.Event()
 
             def handle(self, now, event):
-                self.early += [now - due[event.label]] if now < due[event.label] else []
-                self.seen += 1
-                if self.seen == len(due):
+                self.early += [now - due_times[event.label]] if now < due_times[event.label] else []
+                self.count += 1
+                if self.count == len(due_times):
                     self.done.set()
                 return []
 
-        node.service.policy = clocked = Clocked()
-        due = {}
+        harness.service.policy = recorder = TimerRecorder()
+        due_times = {}
         for n in range(300):
             delay = 0.0101 + n * 0.00037
-            due[n] = node.service.clock() + delay
-            node.service.set_timer(api.SetTimer(delay, n))
-        await clocked.done.wait()
-        assert clocked.early == []
+            due_times[n] = harness.service.clock() + delay
+            harness.service.set_timer(api.SetTimer(delay, n))
+        await recorder.done.wait()
+        assert recorder.early == []
 
 
 @on_loop
-async def test_the_end_serves_what_was_taken_and_closes(tmp_path):
-    async with StubServer(answer=None) as host, GatewayHarness(host, path=tmp_path) as node:
-        _, idle_writer = idle = await node.connect()
-        reader, writer = await node.connect()
+async def test_shutdown_answers_accepted_requests_and_closes_connections(tmp_path):
+    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        _, idle_writer = idle = await harness.connect()
+        reader, writer = await harness.connect()
         writer.write(command(b"before"))
-        await host.arrived.get()
-        ending = asyncio.create_task(node.service.stop())
+        await server.arrived.get()
+        shutdown = asyncio.create_task(harness.service.stop())
         await asyncio.sleep(0)
-        late_reader, late_writer = await node.connect()  # connections still come for a while
+        late_reader, late_writer = await harness.connect()  # new connections are still accepted for a while
         late_writer.write(command(b"after"))
-        while (got := await host.arrived.get()) is None or got[2] != b"after":
+        while (request := await server.arrived.get()) is None or request[2] != b"after":
             pass
-        assert await read_reply(idle[0]) == b""  # idle ones are closed, busy ones not yet
-        assert not ending.done()
-        for out in host.writers:
-            out.write(SERVER_REPLY)
+        assert await read_reply(idle[0]) == b""  # idle connections are closed, busy ones not yet
+        assert not shutdown.done()
+        for server_writer in server.writers:
+            server_writer.write(SERVER_REPLY)
         assert await read_reply(reader) == CLIENT_REPLY and await read_reply(late_reader) == CLIENT_REPLY
         assert await read_reply(reader) == b"" and await read_reply(late_reader) == b""
-        await ending
+        await shutdown
         with pytest.raises(OSError):
-            await node.connect()
+            await harness.connect()
 
 
 @on_loop
-async def test_the_end_comes_before_the_kill_that_follows_the_longest_deadline(tmp_path):
+async def test_shutdown_ends_before_sigkill(tmp_path):
     deadline = 0.6
-    settings = SETTINGS | {"services": [c | {"deadline": int(deadline * 1e9)} for c in SETTINGS["services"]]}
+    settings = SETTINGS | {
+        "services": [service | {"deadline": int(deadline * 1e9)} for service in SETTINGS["services"]]
+    }
     async with (
-        StubServer(answer=None) as host,
-        GatewayHarness(host, path=tmp_path, settings=settings) as node,
+        StubServer(answer=None) as server,
+        GatewayHarness(server, path=tmp_path, settings=settings) as harness,
     ):
-        reader, writer = await node.connect()
+        reader, writer = await harness.connect()
         writer.write(command(b"before", fields=command_fields(d="20000")))
-        await host.arrived.get()
-        assert node.service.shutdown_timeout + gateway.FINAL_FLUSH_TIMEOUT < deadline + 0.7
-        late = asyncio.get_running_loop().create_future()  # far beyond, for a busy machine's sake
-        asyncio.get_running_loop().call_later(deadline + 2.4, late.set_result, None)
-        ending = asyncio.create_task(node.service.stop())
-        while node.service.clients.listener.is_serving():
+        await server.arrived.get()
+        assert harness.service.shutdown_timeout + gateway.FINAL_FLUSH_TIMEOUT < deadline + 0.7
+        timed_out = asyncio.get_running_loop().create_future()  # with a reserve for a busy machine
+        asyncio.get_running_loop().call_later(deadline + 2.4, timed_out.set_result, None)
+        shutdown = asyncio.create_task(harness.service.stop())
+        while harness.service.clients.listener.is_serving():
             await asyncio.sleep(0)
-        # on a connection that is open still
+        # This connection is still open.
         writer.write(command(b"after", fields=command_fields(d="20000")))
         assert [await read_reply(reader) for _ in range(3)] == [b"-ERR failed\r\n"] * 2 + [b""]
-        await ending
-        assert not late.done()
+        await shutdown
+        assert not timed_out.done()
 
 
 @on_loop
-async def test_the_end_waits_for_answers_to_be_taken(tmp_path):
+async def test_shutdown_waits_until_clients_have_read_their_answers(tmp_path):
     value = b"$60000\r\n%s\r\n" % (b"v" * 60000)
     async with (
-        StubServer(b"*3\r\n%s$-1\r\n$-1\r\n" % value) as host,
-        GatewayHarness(host, path=tmp_path) as node,
+        StubServer(b"*3\r\n%s$-1\r\n$-1\r\n" % value) as server,
+        GatewayHarness(server, path=tmp_path) as harness,
     ):
-        reader, writer = await node.connect()
+        reader, writer = await harness.connect()
         writer.transport.pause_reading()
-        asked = 0
-        while not (there := node.service.clients.clients) or not any(c.writes_paused for c in there):
-            writer.write(command(b"r%d" % asked))
-            asked += 1
+        request_count = 0
+        while not (connections := harness.service.clients.clients) or not any(
+            connection.writes_paused for connection in connections
+        ):
+            writer.write(command(b"r%d" % request_count))
+            request_count += 1
             await asyncio.sleep(0.001)
-        ending = asyncio.create_task(node.service.stop())
-        while node.service.clients.listener.is_serving() or node.service.active_requests:
+        shutdown = asyncio.create_task(harness.service.stop())
+        while harness.service.clients.listener.is_serving() or harness.service.active_requests:
             await asyncio.sleep(0)
-        for _ in range(1000):  # turns, in which all that does not wait for the client comes to its end
+        for _ in range(1000):  # loop turns in which everything ends that does not wait for the client
             await asyncio.sleep(0)
-        assert not ending.done()
+        assert not shutdown.done()
         writer.transport.resume_reading()
-        taken = [await read_reply(reader) for _ in range(asked + 1)]
-        assert set(taken[:-1]) <= {value, b"-BUSY\r\n"} and taken[-1] == b"" and value in taken
-        await ending
-        assert not node.service.clients.clients and not node.service.active_requests
+        replies = [await read_reply(reader) for _ in range(request_count + 1)]
+        assert set(replies[:-1]) <= {value, b"-BUSY\r\n"} and replies[-1] == b"" and value in replies
+        await shutdown
+        assert not harness.service.clients.clients and not harness.service.active_requests
 
 
 @on_loop
-async def test_a_second_copy_is_not_sent_where_it_is_not_allowed(tmp_path):
-    async with StubServer(None) as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
+async def test_hedged_attempt_is_not_sent_if_not_allowed(tmp_path):
+    async with (
+        StubServer(None) as first,
+        StubServer() as second,
+        GatewayHarness(first, second, path=tmp_path) as harness,
+    ):
 
-        class Doubler:
+        class HedgingPolicy:
             results = []
 
             def handle(self, now, event):
@@ -209,177 +218,189 @@
                     return [api.Fail(event.id)]
                 return []
 
-        node.service.policy = Doubler()
-        assert (await node.send_command(command())).startswith(b"-ERR")
-        assert Doubler.results[0] == "moot" and not two.commands
+        harness.service.policy = HedgingPolicy()
+        assert (await harness.send_command(command())).startswith(b"-ERR")
+        assert HedgingPolicy.results[0] == "moot" and not second.commands
 
 
-@pytest.mark.parametrize("turned_away", [False, True], ids=["refuses connections", "turns requests away"])
+@pytest.mark.parametrize("refuses_requests", [False, True], ids=["refuses connections", "refuses requests"])
 @on_loop
-async def test_a_host_that_fails_at_once_does_not_draw_what_waits_for_a_busy_one(turned_away, tmp_path):
-    asked = 8  # twice what the sound host may get at once
-    async with StubServer(answer=None) as sound, StubServer(answer=b"-BUSY\r\n") as failing:
-        async with GatewayHarness(sound, failing, path=tmp_path) as node:
-            if not turned_away:
-                failing.server.close()  # its process died, and the list does not tell it yet
-            module, tried, came = node.service.policy.handle, [], []
+async def test_requests_waiting_for_a_busy_server_do_not_all_go_to_a_failing_one(refuses_requests, tmp_path):
+    request_count = 8  # twice what the healthy server may get at once
+    async with StubServer(answer=None) as healthy, StubServer(answer=b"-BUSY\r\n") as failing:
+        async with GatewayHarness(healthy, failing, path=tmp_path) as harness:
+            if not refuses_requests:
+                failing.server.close()  # its process died, which the server list does not show yet
+            handle_event, failing_sends, requests = harness.service.policy.handle, [], []
 
             def handle(now, event):
-                came.extend([event] * isinstance(event, api.Request))
-                actions = module(now, event)
-                tried.extend(a for a in actions if isinstance(a, api.Send) and a.host == "h2")
+                requests.extend([event] * isinstance(event, api.Request))
+                actions = handle_event(now, event)
+                failing_sends.extend(
+                    action for action in actions if isinstance(action, api.Send) and action.host == "h2"
+                )
                 return actions
 
-            node.service.policy.handle = handle
-            asks = [asyncio.ensure_future(node.send_command(command(b"r%d" % n))) for n in range(asked)]
-            while len(came) < asked or not sound.commands:
+            harness.service.policy.handle = handle
+            pending_replies = [
+                asyncio.ensure_future(harness.send_command(command(b"r%d" % n))) for n in range(request_count)
+            ]
+            while len(requests) < request_count or not healthy.commands:
                 await asyncio.sleep(0)
-            sound.answer = SERVER_REPLY
-            for writer in sound.writers:  # those that it has; the others follow
+            healthy.answer = SERVER_REPLY
+            for writer in healthy.writers:  # answers the requests that it has; others follow
                 writer.write(SERVER_REPLY)
-            replies = await asyncio.gather(*asks)
-            assert replies == [CLIENT_REPLY] * asked
-            assert len(tried) < asked / 2
+            replies = await asyncio.gather(*pending_replies)
+            assert replies == [CLIENT_REPLY] * request_count
+            assert len(failing_sends) < request_count / 2
+
 
+async def request_of_unread_disconnect(harness, *steps):
+    """Sends a request and closes the client so that the gateway does not read the end of the connection.
 
-async def left_unread(node, *events):
-    """A client that has asked and closed, of which the loop reads nothing more; its work."""
-    client = socket.create_connection(("127.0.0.1", node.port))
+    Each of `steps` is run before the close. Returns the active request.
+    """
+    client = socket.create_connection(("127.0.0.1", harness.port))
     client.sendall(command())
-    while not node.service.active_requests:
+    while not harness.service.active_requests:
         await asyncio.sleep(0)
-    (work,) = node.service.active_requests.values()
-    for event in events:
-        await event()
-    work.slot.client.transport.pause_reading()
+    (request,) = harness.service.active_requests.values()
+    for step in steps:
+        await step()
+    request.slot.client.transport.pause_reading()
     client.close()
-    return work
+    return request
 
 
-class Held:
-    """A module that decides nothing by itself."""
+class PassivePolicy:
+    """A policy that records events and takes no decisions."""
 
     def __init__(self):
-        self.seen = []
+        self.events = []
 
     def handle(self, now, event):
-        self.seen.append(event)
+        self.events.append(event)
         return []
 
 
 @on_loop
-async def test_no_first_attempt_begins_for_a_client_whose_end_lies_unread(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        node.service.policy = module = Held()
-        work = await left_unread(node)
-        node.service.send(api.Send(work.id, "h1"))
-        assert work.over and not work.live and not node.service.server_connections.pool("h1").coming
-        (ended,) = [e for e in module.seen if isinstance(e, api.Outcome)]
-        assert (ended.id, ended.attempt, ended.result, ended.final) == (work.id, 0, "moot", True)
-        assert not node.service.active_requests
+async def test_no_first_attempt_starts_after_an_unread_client_disconnect(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        harness.service.policy = policy = PassivePolicy()
+        request = await request_of_unread_disconnect(harness)
+        harness.service.send(api.Send(request.id, "h1"))
+        assert request.over and not request.live and not harness.service.server_connections.pool("h1").coming
+        (outcome,) = [event for event in policy.events if isinstance(event, api.Outcome)]
+        assert (outcome.id, outcome.attempt, outcome.result, outcome.final) == (request.id, 0, "moot", True)
+        assert not harness.service.active_requests
 
 
 @on_loop
-async def test_no_further_attempt_begins_for_a_client_whose_end_lies_unread(tmp_path):
+async def test_no_retry_starts_after_an_unread_client_disconnect(tmp_path):
     async with (
-        StubServer(None) as one,
-        StubServer(None) as two,
-        GatewayHarness(one, two, path=tmp_path) as node,
+        StubServer(None) as first,
+        StubServer(None) as second,
+        GatewayHarness(first, second, path=tmp_path) as harness,
     ):
 
-        async def begun():
+        async def attempt_arrived():
             await asyncio.wait(
-                [asyncio.ensure_future(h.arrived.get()) for h in (one, two)],
+                [asyncio.ensure_future(server.arrived.get()) for server in (first, second)],
                 return_when=asyncio.FIRST_COMPLETED,
             )
 
-        work = await left_unread(node, begun)
-        first, other = (one, two) if one.commands else (two, one)
-        first.writers[0].write(b"-BUSY\r\n")  # never ran: it would go to the other one
-        while node.service.active_requests:
+        request = await request_of_unread_disconnect(harness, attempt_arrived)
+        used, unused = (first, second) if first.commands else (second, first)
+        used.writers[0].write(b"-BUSY\r\n")  # not executed: it would be retried at the other server
+        while harness.service.active_requests:
             await asyncio.sleep(0)
-        assert work.over and work.sends == 2 and not other.commands
-        assert not node.service.policy.requests and not node.service.policy.fleet.out
+        assert request.over and request.sends == 2 and not unused.commands
+        assert not harness.service.policy.requests and not harness.service.policy.fleet.out
 
 
 @on_loop
-async def test_no_attempt_begins_on_a_connection_that_came_up_after_the_client_left(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+async def test_no_attempt_is_written_if_the_client_left_while_connecting(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
 
-        async def begun():
-            assert node.service.server_connections.pool("h1").coming
+        async def connecting():
+            assert harness.service.server_connections.pool("h1").coming
 
-        work = await left_unread(node, begun)
-        pool = node.service.server_connections.pool("h1")
+        request = await request_of_unread_disconnect(harness, connecting)
+        pool = harness.service.server_connections.pool("h1")
         assert pool.coming
         while pool.coming:
             await asyncio.sleep(0)
-        assert work.over and not work.live and not host.commands
-        assert len(pool.idle) == 1 and not node.service.policy.fleet.out  # the connection serves the next one
-        await asyncio.sleep(2 * hosts.REST)  # timers may come up to a millisecond early
-        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
-        assert len(host.writers) == 1
+        assert request.over and not request.live and not server.commands
+        # The connection stays open and serves the next request.
+        assert len(pool.idle) == 1 and not harness.service.policy.fleet.out
+        await asyncio.sleep(2 * hosts.REST)  # timers may fire up to a millisecond early
+        assert await harness.send_command(command(b"r2")) == CLIENT_REPLY
+        assert len(server.writers) == 1
 
 
-@pytest.mark.parametrize("late", [0.0, 0.4, 5.0])
+@pytest.mark.parametrize("delay", [0.0, 0.4, 5.0])
 @on_loop
-async def test_a_request_read_late_has_only_the_rest_of_its_time(late, tmp_path, monkeypatch):
-    """A loop that was held up for so long cannot know when the bytes came; the client's time went on."""
-    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
-        now, server = time.monotonic() + 10.0, node.service.clients
+async def test_delay_before_a_late_read_is_deducted_from_the_deadline(delay, tmp_path, monkeypatch):
+    """An event loop that was blocked cannot know when the bytes arrived, while the client's time went on."""
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        now, client_server = time.monotonic() + 10.0, harness.service.clients
         monkeypatch.setattr(clients, "monotonic", lambda: now)
-        server.look_at = now - late  # the look that was due then comes now
-        server.look()
-        asked = [b"API.READ", b"00000000b4d65521", b"r1", command_fields(d="1000")]
-        spent = gateway.RESPONSE_MARGIN + server.waited()
-        left = read_request(asked, node.service.settings, spent).left
-        assert left == pytest.approx(1.0 - gateway.RESPONSE_MARGIN - late)
+        client_server.look_at = now - delay  # the check that was due then runs now
+        client_server.look()
+        message = [b"API.READ", b"00000000b4d65521", b"r1", command_fields(d="1000")]
+        elapsed = gateway.RESPONSE_MARGIN + client_server.waited()
+        remaining = read_request(message, harness.service.settings, elapsed).left
+        assert remaining == pytest.approx(1.0 - gateway.RESPONSE_MARGIN - delay)
         now += clients.LOOK
-        server.look()
-        spent = gateway.RESPONSE_MARGIN + server.waited()
-        assert read_request(asked, node.service.settings, spent).left == pytest.approx(
+        client_server.look()
+        elapsed = gateway.RESPONSE_MARGIN + client_server.waited()
+        assert read_request(message, harness.service.settings, elapsed).left == pytest.approx(
             1.0 - gateway.RESPONSE_MARGIN
         )
-        if late > 1.0:
-            now, server.lag = server.looked, 600.0
-            # at once
-            assert await node.send_command(command(fields=command_fields(d="1000"))) == b"-BUSY\r\n"
+        if delay > 1.0:
+            now, client_server.lag = client_server.looked, 600.0
+            # Refused at once.
+            assert await harness.send_command(command(fields=command_fields(d="1000"))) == b"-BUSY\r\n"
 
 
 def settings_with(**limits):
-    """The tests' settings with other limits."""
+    """Returns the settings of the tests with some limits replaced."""
     return {**SETTINGS, "limits": {**SETTINGS["limits"], **limits}}
 
 
 @on_loop
-async def test_a_connection_that_comes_up_late_tells_what_is_left_then(tmp_path):
+async def test_remaining_time_is_propagated_after_a_late_connect(tmp_path):
     settings = settings_with(connect_timeout=2_500_000_000)
-    async with SaturatedServer() as host, GatewayHarness(host, path=tmp_path, settings=settings) as node:
-        reader, writer = await node.connect()
+    async with (
+        SaturatedServer() as server,
+        GatewayHarness(server, path=tmp_path, settings=settings) as harness,
+    ):
+        reader, writer = await harness.connect()
         writer.write(command())
-        asked = time.monotonic()
+        sent_at = time.monotonic()
         await asyncio.sleep(0.6)
-        waited = time.monotonic() - asked  # it cannot have come up before
-        await host.accept_connections()
+        waited = time.monotonic() - sent_at  # the connection cannot be established earlier
+        await server.accept_connections()
         assert await read_reply(reader) == CLIENT_REPLY
-        assert propagated_deadline_ms(host) <= 3000 - 1000 * waited + 150
+        assert propagated_deadline_ms(server) <= 3000 - 1000 * waited + 150
 
 
 @on_loop
-async def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_written(tmp_path):
-    keyed = {**SETTINGS["services"][1], "memory_span": 800_000_000}  # a connection comes up after a second
+async def test_retry_is_not_written_if_its_window_closed_while_connecting(tmp_path):
+    # 0.8 s, while establishing the connection takes a second.
+    keyed_class = {**SETTINGS["services"][1], "memory_span": 800_000_000}
     settings = settings_with(connect_timeout=2_500_000_000)
-    settings["services"] = [SETTINGS["services"][0], keyed, SETTINGS["services"][2]]
-    async with StubServer(None) as first, SaturatedServer() as late:
-        async with GatewayHarness(first, path=tmp_path, settings=settings) as node:
-            asked = asyncio.create_task(node.send_command(write_command()))
+    settings["services"] = [SETTINGS["services"][0], keyed_class, SETTINGS["services"][2]]
+    async with StubServer(None) as first, SaturatedServer() as saturated:
+        async with GatewayHarness(first, path=tmp_path, settings=settings) as harness:
+            reply = asyncio.create_task(harness.send_command(write_command()))
             await first.arrived.get()
-            node.discovery.changes.put_nowait([server_entry(late, "h2")])
-            while "h2" not in node.service.server_table.entries:
+            harness.discovery.changes.put_nowait([server_entry(saturated, "h2")])
+            while "h2" not in harness.service.server_table.entries:
                 await asyncio.sleep(0.01)
-            first.writers[0].close()  # it may have run: its repeat has a window
-            while not (pool := node.service.server_connections.pools.get("h2")) or not pool.coming:
+            first.writers[0].close()  # the request may have run, so its retry has a window
+            while not (pool := harness.service.server_connections.pools.get("h2")) or not pool.coming:
                 await asyncio.sleep(0.01)
-            await late.accept_connections()
-            assert (await asked).startswith(b"-ERR")
-            assert not late.commands
+            await saturated.accept_connections()
+            assert (await reply).startswith(b"-ERR")
+            assert not saturated.commands
