--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -90,12 +90,14 @@
         self.ready = False  # whether there has been a server to send to
         self.state = ProcessState.SERVING
         self.event_log = EventLog()
+        # Both times are in seconds; the shutdown timeout counts from SIGTERM.
         longest = self.longest_deadline = max(cls.deadline for cls in self.settings.classes.values())
         self.shutdown_timeout = (
             min(longest, MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE - min(KILL_MARGIN, longest / 2)
         )
         descriptors = max(config.sockets - RESERVED_DESCRIPTORS, config.sockets // 2)
-        # Request bodies and incomplete commands are bounded: the process is killed above its memory limit.
+        # Limits request bodies and, separately, incomplete commands: above its memory limit the process is
+        # killed.
         self.max_held_bytes = max(MIN_HELD_BYTES, (config.memory - BASE_MEMORY_BYTES) // 4)
         self.clients = ClientServer(self, descriptors // 2, self.max_held_bytes, self.event_log)
         self.server_table = ServerTable(
