--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -2,8 +2,8 @@
 
 The service turns events on sockets into events of the policy and carries out the actions that the policy
 returns; it takes no decisions itself. It owns the timers and sends each request's single final answer. It
-handles every event and action of interface.py except Began and Message, as this network side has neither
-streaming responses nor messages between peers.
+handles every event and action of interface.py except AttemptStarted and PeerMessage, as this network side
+has neither streaming responses nor messages between peers.
 """
 
 from __future__ import annotations
@@ -18,22 +18,25 @@
 
 from calicomast import interface as api
 from calicomast.net.attempts import AttemptControl
-from calicomast.net.clients import FAILED, ClientServer, Slot
+from calicomast.net.clients import FAILED_RESPONSE, ClientConnections, ResponseSlot
 from calicomast.net.clock import Clock
 from calicomast.net.config import Config
-from calicomast.net.counter import Counter
-from calicomast.net.discovery import Discovery
-from calicomast.net.events import EventLog, Kind
-from calicomast.net.hosts import Attempt, Hosts
-from calicomast.net.lifecycle import ProcessState, RequestState, change
-from calicomast.net.listing import Listing
-from calicomast.net.requests import BadRequest, Work, bulk, check_form, read_request
-from calicomast.net.server_table import ServerTable
-from calicomast.policy import Gateway
-from calicomast.rules import (
-    Verdict,
-    may_take_request,
+from calicomast.net.counter import CounterClient
+from calicomast.net.discovery import DiscoveryClient
+from calicomast.net.events import EventKind, EventLog
+from calicomast.net.lifecycle import ProcessState, RequestState, transition
+from calicomast.net.requests import (
+    ActiveRequest,
+    BadRequest,
+    encode_bulk_string,
+    parse_request,
+    validate_command,
 )
+from calicomast.net.server_connections import Attempt, ServerConnections
+from calicomast.net.server_list import ServerList
+from calicomast.net.server_table import ServerTable
+from calicomast.policy import GatewayPolicy
+from calicomast.rules import Verdict, may_accept_request
 
 # Times of a request, in seconds.
 RESPONSE_MARGIN = 0.03  # time before the client's deadline by which the policy must be done with a request
@@ -82,8 +85,8 @@
         self.settings = config.settings
         self.clock = Clock()
         self.loop = asyncio.get_running_loop()
-        self.policy = Gateway(config.settings, config.seed, self.clock())
-        self.active_requests: dict[str, Work] = {}
+        self.policy = GatewayPolicy(config.settings, config.seed, self.clock())
+        self.active_requests: dict[str, ActiveRequest] = {}
         self.held_body_bytes = 0  # of active requests
         self.events: deque[api.Event] = deque()
         self.dispatching = False  # whether submit_event is processing queued events
@@ -95,44 +98,50 @@
         self.shutdown_timeout = (
             min(longest, MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE - min(KILL_MARGIN, longest / 2)
         )
-        descriptors = max(config.sockets - RESERVED_DESCRIPTORS, config.sockets // 2)
+        descriptors = max(config.max_sockets - RESERVED_DESCRIPTORS, config.max_sockets // 2)
         # Limits request bodies and, separately, incomplete commands: above its memory limit the process is
         # killed.
-        self.max_held_bytes = max(MIN_HELD_BYTES, (config.memory - BASE_MEMORY_BYTES) // 4)
-        self.clients = ClientServer(self, descriptors // 2, self.max_held_bytes, self.event_log)
+        self.max_held_bytes = max(MIN_HELD_BYTES, (config.memory_limit - BASE_MEMORY_BYTES) // 4)
+        self.clients = ClientConnections(self, descriptors // 2, self.max_held_bytes, self.event_log)
         self.server_table = ServerTable(
-            self.submit_event, lambda server: self.server_connections.stop(server), self.clock.started
+            self.submit_event,
+            lambda server: self.server_connections.stop_server(server),
+            self.clock.local_start_time,
         )
-        self.server_connections = Hosts(
-            config.connect_timeout, config.idle_close, descriptors // 2, self.server_table.address
+        self.server_connections = ServerConnections(
+            config.connect_timeout, config.server_idle_timeout, descriptors // 2, self.server_table.address_of
         )
         self.attempt_control = AttemptControl(
-            config.settings, self.clock, self.server_table.listed, self.admits_late, self.event_log
+            config.settings, self.clock, self.server_table.is_available, self.admits_late, self.event_log
+        )
+        self.counter = (
+            CounterClient(config.counter, self.settings.counter_timeout) if config.counter else None
         )
-        self.counter = Counter(config.counter, self.settings.counter_timeout) if config.counter else None
-        self.max_server_list_bytes = max_server_list_bytes(config.memory)
+        self.max_server_list_bytes = max_server_list_bytes(config.memory_limit)
         self.discovery_generation = 0  # number of discovery clients created so far
-        self.discovery = self.create_discovery(config, config.known.version, held=bool(config.known.entries))
+        self.discovery = self.create_discovery(
+            config, config.known_servers.version, held=bool(config.known_servers.entries)
+        )
         self.closing_tasks: set[asyncio.Task[None]] = set()  # of discovery clients that were replaced
         self.actions = {
             api.Send: self.send,
             api.Refuse: self.refuse,
             api.Fail: self.fail,
             api.Cancel: self.cancel,
-            api.Count: self.count,
+            api.AddToCounter: self.count,
             api.SetTimer: self.set_timer,
             api.Probe: self.probe,
-            api.Close: lambda action: self.server_connections.close_idle(action.host),
-            api.Fetch: lambda action: self.discovery.fetch(),
-            api.Watch: lambda action: self.discovery.watch(action.on),
+            api.CloseConnections: lambda action: self.server_connections.close_idle(action.server),
+            api.FetchServerList: lambda action: self.discovery.fetch(),
+            api.WatchServerList: lambda action: self.discovery.watch(action.enabled),
             api.Log: lambda action: log.info("policy: %s", action.text),
         }
 
     async def start(self) -> None:
         """Starts everything but the listener, so that the policy knows the servers before clients connect."""
-        for _ in self.apply_server_list(self.config.known):
+        for _ in self.apply_server_list(self.config.known_servers):
             pass
-        self.server_connections.start_checks()
+        self.server_connections.start_idle_checks()
         if self.counter:
             self.counter.start()
         if self.settings.discovery == "push":
@@ -145,16 +154,20 @@
     def reload(self, config: Config) -> None:
         """Applies the addresses in a new configuration. Its other settings take effect at the next start."""
         if self.stopping:
-            self.event_log.tell(Kind.CONFIGURATION, Verdict.SHUTTING_DOWN.value)
+            self.event_log.log(EventKind.CONFIGURATION, Verdict.SHUTTING_DOWN.value)
             return
         old, self.config = self.config, config
-        if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
+        if (old.settings, old.listen, old.max_sockets) != (
+            config.settings,
+            config.listen,
+            config.max_sockets,
+        ):
             log.warning("only the addresses of discovery and counter are reloaded; the rest needs a restart")
         if self.counter and config.counter:
-            self.counter.move(config.counter)
+            self.counter.change_address(config.counter)
         replaced = self.discovery
         self.discovery = self.create_discovery(config, replaced.version, held=False)
-        if replaced.watching:
+        if replaced.watch_task:
             # The new watch begins with the full list, as each discovery service has versions of its own.
             self.discovery.watch(True)
         closing = self.loop.create_task(replaced.close())
@@ -162,19 +175,19 @@
         closing.add_done_callback(self.closing_tasks.discard)
         log.info("new configuration: discovery %s:%d", *config.discovery)
 
-    def create_discovery(self, config: Config, version: int, held: bool) -> Discovery:
+    def create_discovery(self, config: Config, version: int, held: bool) -> DiscoveryClient:
         """Creates the client of the discovery service that a configuration names."""
         self.discovery_generation += 1
         generation = self.discovery_generation
-        return Discovery(
+        return DiscoveryClient(
             config.discovery,
             version,
             lambda server_list: self.apply_server_list(server_list, generation),
             self.handle_fetch_failure,
-            held=held,
-            grace=self.settings.rules.drain_grace,
-            most=self.max_server_list_bytes,
-            entries=self.server_table.entries,
+            has_list=held,
+            drain_grace=self.settings.rules.drain_grace,
+            max_body_bytes=self.max_server_list_bytes,
+            known_entries=self.server_table.entries,
         )
 
     @property
@@ -189,7 +202,7 @@
 
     def set_state(self, state: ProcessState) -> None:
         """Changes the state of the process."""
-        self.state = change(self.state, state)
+        self.state = transition(self.state, state)
 
     # Events
 
@@ -220,16 +233,16 @@
             except Exception:  # the other actions go on; a request left open is failed at its deadline
                 log.exception("action failed: %r", action)
 
-    def abort_request(self, work: Work, reason: str) -> None:
+    def abort_request(self, work: ActiveRequest, reason: str) -> None:
         """Fails a request without a decision of the policy and makes the policy drop it."""
-        if not work.over:
-            self.log_request_end(Kind.REQUEST_FAILED, reason, work)
-        self.finish_request(work, FAILED)
-        for attempt in list(work.live.values()):
-            self.server_connections.give_up(attempt, "cancelled")
-        self.submit_event(api.Gone(work.id))
-
-    def apply_server_list(self, server_list: Listing, generation: int = 0) -> Iterator[None]:
+        if not work.finished:
+            self.log_request_end(EventKind.REQUEST_FAILED, reason, work)
+        self.finish_request(work, FAILED_RESPONSE)
+        for attempt in list(work.active_attempts.values()):
+            self.server_connections.cancel_attempt(attempt, "cancelled")
+        self.submit_event(api.ClientDisconnected(work.id))
+
+    def apply_server_list(self, server_list: ServerList, generation: int = 0) -> Iterator[None]:
         """Applies a server list in slices, one at each step of the iterator.
 
         Args:
@@ -240,30 +253,32 @@
         """
         self.check_server_list(server_list, generation)
         is_long = len(server_list.entries) > LONG_SERVER_LIST
-        for _ in self.server_table.take(server_list):
+        for _ in self.server_table.apply(server_list):
             yield
             # A reload may have replaced the discovery client since.
             self.check_server_list(server_list, generation)
-        self.ready = self.ready or self.server_table.any_to_send_to()
+        self.ready = self.ready or self.server_table.any_available()
         if is_long:
             gc.freeze()  # most of the list stays in memory: no collection needs to scan it
 
-    def check_server_list(self, server_list: Listing, generation: int) -> None:
+    def check_server_list(self, server_list: ServerList, generation: int) -> None:
         """Raises ValueError if a server list may not be applied, or not any further."""
         try:
-            self.server_table.check(server_list, source_current=generation in (0, self.discovery_generation))
+            self.server_table.validate(
+                server_list, source_current=generation in (0, self.discovery_generation)
+            )
         except ValueError as err:
-            self.event_log.tell(Kind.LIST_NOT_APPLIED, str(err), version=server_list.version)
+            self.event_log.log(EventKind.LIST_NOT_APPLIED, str(err), version=server_list.version)
             raise
 
     def handle_fetch_failure(self) -> None:
         """Tells the policy that discovery did not send a list that it asked for."""
         if self.settings.discovery == "ask":
-            self.submit_event(api.HostList("failed", self.discovery.version, ()))
+            self.submit_event(api.ServerListUpdate("failed", self.discovery.version, ()))
 
     # Clients
 
-    def handle_command(self, slot: Slot, command: object) -> None:
+    def handle_command(self, slot: ResponseSlot, command: object) -> None:
         """Handles a command that a client sent: PING, or a request."""
         if command == [b"PING"] or command == [b"ping"]:
             slot.reply(PONG if self.ready and not self.stopping else b"-ERR not ready\r\n")
@@ -271,85 +286,89 @@
         try:
             self.accept_request(slot, command)
         except BadRequest as err:
-            self.event_log.note(Kind.REQUEST_NOT_TAKEN, str(err))
+            self.event_log.count(EventKind.REQUEST_NOT_TAKEN, str(err))
             slot.reply(b"-ERR %s\r\n" % str(err).encode())
         except Exception:
             log.exception("command failed")
-            if slot.answer is None:
-                slot.reply(FAILED)
+            if slot.response is None:
+                slot.reply(FAILED_RESPONSE)
 
-    def accept_request(self, slot: Slot, message: object) -> None:
+    def accept_request(self, slot: ResponseSlot, message: object) -> None:
         """Accepts a request and submits it to the policy, or refuses it at once. Raises BadRequest."""
-        command = check_form(message)
-        request = read_request(command, self.settings, RESPONSE_MARGIN + slot.client.waited())
+        command = validate_command(message)
+        request = parse_request(command, self.settings, RESPONSE_MARGIN + slot.connection.read_delay())
         if request.id in self.active_requests:
             raise BadRequest("this id is in work")
-        verdict = may_take_request(
-            ending=self.refusing,
-            in_work=len(self.active_requests),
-            most_in_work=self.config.max_open,
-            held=self.held_body_bytes,
-            most_held=self.max_held_bytes,
+        verdict = may_accept_request(
+            shutting_down=self.refusing,
+            active_requests=len(self.active_requests),
+            max_active_requests=self.config.max_active_requests,
+            body_bytes=self.held_body_bytes,
+            max_body_bytes=self.max_held_bytes,
         )
         if verdict is not Verdict.ALLOWED:
-            self.event_log.note(Kind.REQUEST_REFUSED, verdict.value)
+            self.event_log.count(EventKind.REQUEST_REFUSED, verdict.value)
             slot.reply(BUSY)
             return
         now = time.monotonic()
-        work = Work(request.id, slot, command, now + request.left)
-        slot.token = work
-        slot.due = now + min(request.left + RESPONSE_MARGIN, self.longest_deadline) + LATE_ANSWER_GRACE
+        work = ActiveRequest(request.id, slot, command, now + request.remaining_time)
+        slot.active_request = work
+        slot.expires_at = (
+            now + min(request.remaining_time + RESPONSE_MARGIN, self.longest_deadline) + LATE_ANSWER_GRACE
+        )
         self.active_requests[request.id] = work
         self.held_body_bytes += len(command[-1])
-        work.guard = self.loop.call_later(
-            max(0.0, request.left + RESPONSE_MARGIN - DEADLINE_GUARD_MARGIN), self.fail_overdue, work
+        work.deadline_timer = self.loop.call_later(
+            max(0.0, request.remaining_time + RESPONSE_MARGIN - DEADLINE_GUARD_MARGIN),
+            self.fail_overdue,
+            work,
         )
         self.submit_event(request)
 
-    def handle_client_gone(self, slot: Slot) -> None:
+    def handle_client_gone(self, slot: ResponseSlot) -> None:
         """Ends a request whose client has gone: nothing more is sent for it."""
-        work = slot.token
-        if work is not None and not work.over:
+        work = slot.active_request
+        if work is not None and not work.finished:
             self.finish_request(work, b"")
-            self.submit_event(api.Gone(work.id))
+            self.submit_event(api.ClientDisconnected(work.id))
 
-    def fail_overdue(self, work: Work) -> None:
+    def fail_overdue(self, work: ActiveRequest) -> None:
         """Fails a request just before its client's deadline, if the policy has not answered it."""
-        if not work.over:
+        if not work.finished:
             self.abort_request(work, "no decision before its deadline")
 
-    def finish_request(self, work: Work, answer: bytes) -> None:
+    def finish_request(self, work: ActiveRequest, answer: bytes) -> None:
         """Sends a request's final answer; nothing else does. An empty answer sends nothing."""
-        if work.over:
+        if work.finished:
             return
-        work.become(RequestState.ANSWERED)
-        if work.guard is not None:
-            work.guard.cancel()
+        work.transition_to(RequestState.ANSWERED)
+        if work.deadline_timer is not None:
+            work.deadline_timer.cancel()
         if answer:
             work.slot.reply(answer)
-        for attempt in list(work.live.values()):
+        for attempt in list(work.active_attempts.values()):
             if not attempt.written:  # after the final answer nothing more is sent
-                self.server_connections.give_up(attempt, "cancelled")
+                self.server_connections.cancel_attempt(attempt, "cancelled")
         self.remove_if_done(work)
 
-    def remove_if_done(self, work: Work) -> None:
+    def remove_if_done(self, work: ActiveRequest) -> None:
         """Removes a request that has been answered and has no attempt left."""
-        if work.over and not work.live and self.active_requests.pop(work.id, None):
-            work.become(RequestState.FORGOTTEN)
+        if work.finished and not work.active_attempts and self.active_requests.pop(work.id, None):
+            work.transition_to(RequestState.REMOVED)
             self.held_body_bytes -= len(work.command[-1])
 
-    def log_request_end(self, kind: Kind, reason: str, work: Work) -> None:
+    def log_request_end(self, kind: EventKind, reason: str, work: ActiveRequest) -> None:
         """Logs why a request was refused or failed."""
-        client = work.slot.client
+        client = work.slot.connection
         ids = {"id": work.id, "connection": client.number, "state": client.state.value}
-        self.event_log.tell(kind, reason, **ids, attempts=work.begun)
+        self.event_log.log(kind, reason, **ids, attempts=work.attempts_written)
 
     # Actions: one method for each class of actions, and the callbacks of what they start
 
     def refuse(self, action: api.Refuse) -> None:
         """Refuses a request and tells the client when to retry, in milliseconds."""
         if action.id in self.active_requests:
-            self.log_request_end(Kind.REQUEST_REFUSED, action.reason, self.active_requests[action.id])
+            self.log_request_end(EventKind.REQUEST_REFUSED, action.reason, self.active_requests[action.id])
             retry_after_ms = math.ceil(action.retry_after * 1000)
             self.finish_request(
                 self.active_requests[action.id],
@@ -359,35 +378,35 @@
     def fail(self, action: api.Fail) -> None:
         """Answers a request with an error."""
         if action.id in self.active_requests:
-            self.log_request_end(Kind.REQUEST_FAILED, action.reason, self.active_requests[action.id])
-            self.finish_request(self.active_requests[action.id], FAILED)
+            self.log_request_end(EventKind.REQUEST_FAILED, action.reason, self.active_requests[action.id])
+            self.finish_request(self.active_requests[action.id], FAILED_RESPONSE)
 
     def send(self, action: api.Send) -> None:
         """Starts an attempt of a request at a server, if the rules still allow it."""
         work = self.active_requests.get(action.id)
-        if work is None or work.over:
+        if work is None or work.finished:
             return
-        number = work.sends
-        work.sends += 1
-        attempt = Attempt(action.host, self.prepare_payload, self.attempt_done, (work, number))
-        attempt.repeat_until, attempt.cold = action.repeat_until, action.cold
-        verdict = self.attempt_control.judge(attempt, late=False)
+        number = work.attempts_created
+        work.attempts_created += 1
+        attempt = Attempt(action.server, self.prepare_payload, self.attempt_done, (work, number))
+        attempt.retry_until, attempt.slow_start = action.retry_deadline, action.slow_start
+        verdict = self.attempt_control.may_write(attempt, connected_late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
                 self.finish_request(work, b"")
-            self.submit_event(api.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
+            self.submit_event(api.Outcome(work.id, number, action.server, "moot", 0.0, work.finished))
             return
-        work.live[number] = attempt
-        attempt.judged = True  # valid only during this call
+        work.active_attempts[number] = attempt
+        attempt.permitted = True  # valid only during this call
         remaining = work.deadline - time.monotonic()
         self.server_connections.send(
             attempt, min(remaining, action.timeout) if action.timeout > 0 else remaining
         )
-        attempt.judged = False
+        attempt.permitted = False
 
     def admits_late(self, now: float, id: str, number: int, server: str) -> bool:
         """Asks the policy whether slow start allows an attempt whose connection was established late."""
-        return self.policy.admits_late(now, id, number, server)
+        return self.policy.admits_delayed_attempt(now, id, number, server)
 
     def prepare_payload(self, attempt: Attempt) -> bytes | None:
         """Returns the bytes to send to the server, or None if the attempt may not be sent any more.
@@ -395,36 +414,36 @@
         Called when its connection is ready to be written to.
         """
         work, _ = attempt.tag
-        if not attempt.judged:
-            verdict = self.attempt_control.judge(attempt, late=True)
+        if not attempt.permitted:
+            verdict = self.attempt_control.may_write(attempt, connected_late=True)
             if verdict is not Verdict.ALLOWED:
                 if verdict is Verdict.CLIENT_GONE:
                     self.handle_client_gone(work.slot)
                 return None
-        return self.attempt_control.write(attempt)
+        return self.attempt_control.prepare_write(attempt)
 
     def attempt_done(self, attempt: Attempt) -> None:
         """Answers the request of an attempt that has ended, if it succeeded, and reports it to the policy."""
         work, number = attempt.tag
-        result, over = attempt.result, work.over
-        del work.live[number]
+        result, over = attempt.result, work.finished
+        del work.active_attempts[number]
         if result != "ok":
-            ids = {"id": work.id, "attempt": number, "server": attempt.host, "state": work.state.value}
-            self.event_log.tell(Kind.ATTEMPT_ENDED, result, **ids)
-        if over and (result == "connect_failed" or result in api.NEVER_BEGAN):
+            ids = {"id": work.id, "attempt": number, "server": attempt.server, "state": work.state.value}
+            self.event_log.log(EventKind.ATTEMPT_ENDED, result, **ids)
+        if over and (result == "connect_failed" or result in api.NOT_STARTED_RESULTS):
             result = "moot"  # cancelled before it was sent, which says nothing about the server
         elif result == "ok" and not over:
-            self.finish_request(work, bulk(attempt.value))
+            self.finish_request(work, encode_bulk_string(attempt.value))
         self.remove_if_done(work)
         self.submit_event(
             api.Outcome(
                 work.id,
                 number,
-                attempt.host,
+                attempt.server,
                 result,
                 attempt.elapsed(),
-                work.over,
-                used=attempt.used,
+                work.finished,
+                quota_use=attempt.quota_usage,
                 report=attempt.report,
             )
         )
@@ -432,18 +451,18 @@
     def cancel(self, action: api.Cancel) -> None:
         """Cancels one attempt."""
         work = self.active_requests.get(action.id)
-        if work is not None and action.attempt in work.live:
-            self.server_connections.give_up(work.live[action.attempt], "cancelled")
+        if work is not None and action.attempt in work.active_attempts:
+            self.server_connections.cancel_attempt(work.active_attempts[action.attempt], "cancelled")
 
     def probe(self, action: api.Probe) -> None:
         """Starts a probe of a server."""
-        self.server_connections.probe(action.host, self.handle_probe_result)
+        self.server_connections.probe(action.server, self.handle_probe_result)
 
     def handle_probe_result(self, attempt: Attempt) -> None:
         """Reports a probe that has ended to the policy."""
-        self.submit_event(api.Probed(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
+        self.submit_event(api.ProbeResult(attempt.server, attempt.result, attempt.elapsed(), attempt.report))
 
-    def count(self, action: api.Count) -> None:
+    def count(self, action: api.AddToCounter) -> None:
         """Calls the counter service; without one the call fails in the next turn of the event loop."""
         if self.counter is None:
             self.loop.call_soon(self.handle_counter_result, action.name, "connect_failed", 0.0, 0.0)
@@ -452,7 +471,7 @@
 
     def handle_counter_result(self, name: int, result: str, total: float, elapsed: float) -> None:
         """Reports a call of the counter service that has ended to the policy."""
-        self.submit_event(api.Counted(name, result, total, elapsed))
+        self.submit_event(api.CounterResult(name, result, total, elapsed))
 
     def set_timer(self, action: api.SetTimer) -> None:
         """Sets a timer of the policy."""
@@ -468,7 +487,7 @@
         if remaining > 0:
             self.loop.call_later(remaining + 0.001, self.fire_timer, label, at)
         else:
-            self.submit_event(api.Timer(label))
+            self.submit_event(api.TimerExpired(label))
 
     # Shutdown
 
@@ -481,9 +500,9 @@
         started_at = time.monotonic()
         self.set_state(ProcessState.LINGERING)
         await asyncio.sleep(LINGER)
-        await self.clients.no_more()
+        await self.clients.stop_accepting()
         self.set_state(ProcessState.FINISHING)
-        self.clients.finish()
+        self.clients.drain()
         await self.wait_until_idle(started_at + self.shutdown_timeout)
         self.set_state(ProcessState.REFUSING)
         for work in list(self.active_requests.values()):
@@ -503,5 +522,5 @@
 
     async def wait_until_idle(self, deadline: float) -> None:
         """Waits until no request is active and all client connections are closed, or until the deadline."""
-        while (self.active_requests or self.clients.clients) and time.monotonic() < deadline:
+        while (self.active_requests or self.clients.connections) and time.monotonic() < deadline:
             await asyncio.sleep(IDLE_POLL_INTERVAL)
--- a/calicomast/net/program.py
+++ b/calicomast/net/program.py
@@ -14,9 +14,9 @@
 
 import uvloop
 
-from calicomast.net.config import Config, ConfigError, config_steps, read_config
+from calicomast.net.config import Config, ConfigError, read_config, read_config_incrementally
 from calicomast.net.gateway import GatewayService
-from calicomast.net.own_trouble import is_own_trouble
+from calicomast.net.local_errors import is_local_error
 
 STEPS_PER_TURN = 4  # steps of reading the configuration in one turn of the event loop
 MAX_LINES_PER_SECOND = 5  # log lines
@@ -94,7 +94,7 @@
         except OSError as err:
             timeout = (
                 LOCAL_ERROR_TIMEOUT
-                if is_own_trouble(err)
+                if is_local_error(err)
                 else ADDRESS_IN_USE_TIMEOUT
                 if err.errno == errno.EADDRINUSE
                 else 0.0
@@ -115,9 +115,9 @@
     deadline = time.monotonic() + LOCAL_ERROR_TIMEOUT
     while True:
         try:
-            return read_config(again=sighups.count > 0)
+            return read_config(reload=sighups.count > 0)
         except ConfigError as err:
-            if not is_own_trouble(err.__cause__) or time.monotonic() > deadline:
+            if not is_local_error(err.__cause__) or time.monotonic() > deadline:
                 raise
             time.sleep(START_RETRY_INTERVAL)
 
@@ -146,7 +146,7 @@
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
-        self.steps = config_steps(again=True, keep_known=False)
+        self.steps = read_config_incrementally(reload=True, keep_servers=False)
         self.continue_reading(self.steps)
 
     def continue_reading(self, steps: Generator[None, None, Config]) -> None:
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -368,7 +368,7 @@
     async def __aexit__(self, *_):
         for writer in self.writers:
             writer.close()
-        self.service.clients.finish()
+        self.service.clients.drain()
         self.service.server_connections.close()
         self.service.counter.close()
         await self.service.discovery.close()
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -15,7 +15,7 @@
 )
 
 from calicomast.net import counter as calls
-from calicomast.net.counter import LINES
+from calicomast.net.counter import CONNECTION_COUNT
 
 
 @on_loop
@@ -46,7 +46,9 @@
         def add():
             counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
 
-        while len(node.counter.writers) < LINES or any(line.transport is None for line in counter.lines):
+        while len(node.counter.writers) < CONNECTION_COUNT or any(
+            line.transport is None for line in counter.lines
+        ):
             await asyncio.sleep(0)
         node.counter.silent = True
         add()
@@ -103,8 +105,8 @@
         old, node.counter.silent = list(counter.lines), True
         add(1)
         await node.counter.arrived.get()
-        counter.move(("127.0.0.1", new.port))
-        counter.move(("127.0.0.1", new.port))  # twice in a row does no harm
+        counter.change_address(("127.0.0.1", new.port))
+        counter.change_address(("127.0.0.1", new.port))  # twice in a row does no harm
         while counter.next:
             await asyncio.sleep(0.001)
         add(5)
@@ -144,8 +146,8 @@
         while any(line.transport is None for line in node.service.counter.lines):
             await asyncio.sleep(0)
         await node.send_command(command())
-        (acct,) = node.service.policy.accounts.values()
-        now = acct.start + acct.length + 1.0  # early in a window, whenever this runs
+        (acct,) = node.service.policy.tenant_quotas.values()
+        now = acct.window_start + acct.window_length + 1.0  # early in a window, whenever this runs
         node.service.clock = lambda: now
         await node.send_command(command(b"r"))
         acct.debt = 10 / 3  # an overdraft of the last window, brought along once the first call is answered
@@ -166,8 +168,9 @@
             return (await node.send_command(command(b"r%d" % n, command_fields(spread=2)))) == CLIENT_REPLY
 
         await ask(1)
-        (acct,) = node.service.policy.accounts.values()
-        now = acct.start + acct.length + 0.5  # at the same place of its windows, whenever this runs
+        (acct,) = node.service.policy.tenant_quotas.values()
+        # At the same place of its windows, whenever this runs.
+        now = acct.window_start + acct.window_length + 0.5
         for window in range(4):  # all that the counter tells of is used here, though two could
             node.service.clock = lambda at=now + 2 * window: at
             for n in range(14):
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -21,12 +21,12 @@
 from calicomast.net import discovery
 from calicomast.net.config import read_config
 from calicomast.net.http import StatusError
-from calicomast.net.listing import read_list
+from calicomast.net.server_list import parse_server_list
 
 
 def sendable(node):
     """The servers that requests may be sent to."""
-    return {name for name in node.service.server_table.entries if node.service.server_table.address(name)}
+    return {name for name in node.service.server_table.entries if node.service.server_table.address_of(name)}
 
 
 @on_loop
@@ -126,15 +126,15 @@
 
         node.service.policy = Sender()
         asked = asyncio.create_task(node.send_command(command()))
-        pool = node.service.server_connections.pool("h1")
-        while not pool.coming:  # the attempt waits for its connection
+        pool = node.service.server_connections.pool_for("h1")
+        while not pool.connecting:  # the attempt waits for its connection
             await asyncio.sleep(0)
         seen.clear()
         drains = {"version": 2, "full": False, "servers": [server_entry(host, "h1", "draining")]}
         # in one step
-        assert list(node.service.apply_server_list(read_list(json.dumps(drains).encode()))) == []
+        assert list(node.service.apply_server_list(parse_server_list(json.dumps(drains).encode()))) == []
         await done.wait()
-        assert seen == [api.HostList, api.Outcome, "connect_failed"]
+        assert seen == [api.ServerListUpdate, api.Outcome, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
 
 
@@ -174,13 +174,13 @@
         monkeypatch.setattr(discovery.random, "random", lambda: 1.0)  # the longest pauses
         self.behave, self.loop, self.calls, self.most = behave, asyncio.get_running_loop(), [], 0
         self.lists, self.heard = [(0.0, 7)], []  # from when which version; when which was told
-        self.watch = discovery.Discovery(("127.0.0.1", 1), 7, self.told, lambda: None, held, grace)
-        monkeypatch.setattr(self.watch, "pieces", self.pieces)
+        self.watch = discovery.DiscoveryClient(("127.0.0.1", 1), 7, self.told, lambda: None, held, grace)
+        monkeypatch.setattr(self.watch, "read_body", self.read_body)
 
     def told(self, listing):
         self.heard.append((self.loop.time(), listing.version))
 
-    async def pieces(self, target):
+    async def read_body(self, target):
         yield (await self.body(target)).encode()
 
     async def body(self, target):
@@ -306,7 +306,7 @@
             raise asyncio.CancelledError  # not for ever
         yield b'{"version": 7, "full": false, "servers": []}'
 
-    monkeypatch.setattr(agent.watch, "pieces", at_once)
+    monkeypatch.setattr(agent.watch, "read_body", at_once)
     await agent.play(2.0)
     assert 5 < len(agent.calls) <= 21
 
@@ -324,7 +324,7 @@
             pass
         file = tmp_path / "next.json"
         file.write_text(json.dumps(gateway_config([], next_one.port, node.counter.port)))
-        node.service.reload(read_config({"RELAY_CONFIG": str(file)}, again=True))
+        node.service.reload(read_config({"RELAY_CONFIG": str(file)}, reload=True))
         while "index" not in await next_one.calls.get():
             pass  # the new list was told, and its watch is open
         node.discovery.changes.put_nowait([server_entry(old, "h1")])
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -23,8 +23,8 @@
 )
 
 from calicomast import interface as api
-from calicomast.net import clients, gateway, hosts
-from calicomast.net.requests import read_request
+from calicomast.net import clients, gateway, server_connections
+from calicomast.net.requests import parse_request
 
 
 @on_loop
@@ -180,7 +180,7 @@
         reader, writer = await harness.connect()
         writer.transport.pause_reading()
         request_count = 0
-        while not (connections := harness.service.clients.clients) or not any(
+        while not (connections := harness.service.clients.connections) or not any(
             connection.writes_paused for connection in connections
         ):
             writer.write(command(b"r%d" % request_count))
@@ -196,7 +196,7 @@
         replies = [await read_reply(reader) for _ in range(request_count + 1)]
         assert set(replies[:-1]) <= {value, b"-BUSY\r\n"} and replies[-1] == b"" and value in replies
         await shutdown
-        assert not harness.service.clients.clients and not harness.service.active_requests
+        assert not harness.service.clients.connections and not harness.service.active_requests
 
 
 @on_loop
@@ -237,7 +237,7 @@
                 requests.extend([event] * isinstance(event, api.Request))
                 actions = handle_event(now, event)
                 failing_sends.extend(
-                    action for action in actions if isinstance(action, api.Send) and action.host == "h2"
+                    action for action in actions if isinstance(action, api.Send) and action.server == "h2"
                 )
                 return actions
 
@@ -267,7 +267,7 @@
     (request,) = harness.service.active_requests.values()
     for step in steps:
         await step()
-    request.slot.client.transport.pause_reading()
+    request.slot.connection.transport.pause_reading()
     client.close()
     return request
 
@@ -289,7 +289,11 @@
         harness.service.policy = policy = PassivePolicy()
         request = await request_of_unread_disconnect(harness)
         harness.service.send(api.Send(request.id, "h1"))
-        assert request.over and not request.live and not harness.service.server_connections.pool("h1").coming
+        assert (
+            request.finished
+            and not request.active_attempts
+            and not harness.service.server_connections.pool_for("h1").connecting
+        )
         (outcome,) = [event for event in policy.events if isinstance(event, api.Outcome)]
         assert (outcome.id, outcome.attempt, outcome.result, outcome.final) == (request.id, 0, "moot", True)
         assert not harness.service.active_requests
@@ -314,8 +318,8 @@
         used.writers[0].write(b"-BUSY\r\n")  # not executed: it would be retried at the other server
         while harness.service.active_requests:
             await asyncio.sleep(0)
-        assert request.over and request.sends == 2 and not unused.commands
-        assert not harness.service.policy.requests and not harness.service.policy.fleet.out
+        assert request.finished and request.attempts_created == 2 and not unused.commands
+        assert not harness.service.policy.requests and not harness.service.policy.balancer.attempts_in_flight
 
 
 @on_loop
@@ -323,17 +327,17 @@
     async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
 
         async def connecting():
-            assert harness.service.server_connections.pool("h1").coming
+            assert harness.service.server_connections.pool_for("h1").connecting
 
         request = await request_of_unread_disconnect(harness, connecting)
-        pool = harness.service.server_connections.pool("h1")
-        assert pool.coming
-        while pool.coming:
+        pool = harness.service.server_connections.pool_for("h1")
+        assert pool.connecting
+        while pool.connecting:
             await asyncio.sleep(0)
-        assert request.over and not request.live and not server.commands
+        assert request.finished and not request.active_attempts and not server.commands
         # The connection stays open and serves the next request.
-        assert len(pool.idle) == 1 and not harness.service.policy.fleet.out
-        await asyncio.sleep(2 * hosts.REST)  # timers may fire up to a millisecond early
+        assert len(pool.idle) == 1 and not harness.service.policy.balancer.attempts_in_flight
+        await asyncio.sleep(2 * server_connections.REUSE_DELAY)  # timers may fire up to a millisecond early
         assert await harness.send_command(command(b"r2")) == CLIENT_REPLY
         assert len(server.writers) == 1
 
@@ -345,20 +349,20 @@
     async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
         now, client_server = time.monotonic() + 10.0, harness.service.clients
         monkeypatch.setattr(clients, "monotonic", lambda: now)
-        client_server.look_at = now - delay  # the check that was due then runs now
-        client_server.look()
+        client_server.next_poll_at = now - delay  # the check that was due then runs now
+        client_server.poll_disconnects()
         message = [b"API.READ", b"00000000b4d65521", b"r1", command_fields(d="1000")]
-        elapsed = gateway.RESPONSE_MARGIN + client_server.waited()
-        remaining = read_request(message, harness.service.settings, elapsed).left
+        elapsed = gateway.RESPONSE_MARGIN + client_server.loop_lag()
+        remaining = parse_request(message, harness.service.settings, elapsed).remaining_time
         assert remaining == pytest.approx(1.0 - gateway.RESPONSE_MARGIN - delay)
-        now += clients.LOOK
-        client_server.look()
-        elapsed = gateway.RESPONSE_MARGIN + client_server.waited()
-        assert read_request(message, harness.service.settings, elapsed).left == pytest.approx(
+        now += clients.DISCONNECT_POLL_INTERVAL
+        client_server.poll_disconnects()
+        elapsed = gateway.RESPONSE_MARGIN + client_server.loop_lag()
+        assert parse_request(message, harness.service.settings, elapsed).remaining_time == pytest.approx(
             1.0 - gateway.RESPONSE_MARGIN
         )
         if delay > 1.0:
-            now, client_server.lag = client_server.looked, 600.0
+            now, client_server.last_poll_lag = client_server.last_poll_at, 600.0
             # Refused at once.
             assert await harness.send_command(command(fields=command_fields(d="1000"))) == b"-BUSY\r\n"
 
@@ -399,7 +403,7 @@
             while "h2" not in harness.service.server_table.entries:
                 await asyncio.sleep(0.01)
             first.writers[0].close()  # the request may have run, so its retry has a window
-            while not (pool := harness.service.server_connections.pools.get("h2")) or not pool.coming:
+            while not (pool := harness.service.server_connections.pools.get("h2")) or not pool.connecting:
                 await asyncio.sleep(0.01)
             await saturated.accept_connections()
             assert (await reply).startswith(b"-ERR")
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -25,9 +25,9 @@
     server_entry,
 )
 
-from calicomast.net.counter import LINES
-from calicomast.net.listing import PIECE
+from calicomast.net.counter import CONNECTION_COUNT
 from calicomast.net.program import STEPS_PER_TURN, Reloader
+from calicomast.net.server_list import CHUNK_BYTES
 
 ROOT = Path(__file__).resolve().parent.parent
 PING = b"*1\r\n$4\r\nPING\r\n"
@@ -142,7 +142,7 @@
         process.send_signal(signal.SIGHUP)
         assert "index" not in await new_discovery.calls.get()  # the environment still names the old address
         assert "index" in await new_discovery.calls.get()
-        while len(new_counter.writers) < LINES:
+        while len(new_counter.writers) < CONNECTION_COUNT:
             await asyncio.sleep(0.01)
         for n in range(4):
             new_reader, new_writer = await asyncio.open_connection("127.0.0.1", port)
@@ -301,8 +301,8 @@
         while not applied:
             loop_turns += 1
             await asyncio.sleep(0)
-        assert loop_turns > len(path.read_bytes()) // (STEPS_PER_TURN * PIECE) - 1 > 3
-        assert not applied[0].known.entries and applied[0].name == "n0"
+        assert loop_turns > len(path.read_bytes()) // (STEPS_PER_TURN * CHUNK_BYTES) - 1 > 3
+        assert not applied[0].known_servers.entries and applied[0].name == "n0"
         reloader.reload()
         path.write_text(json.dumps(gateway_config(servers[:1], 7, 8)))
         reloader.reload()  # cancels the first reading
