--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -112,7 +112,11 @@
             config.connect_timeout, config.server_idle_timeout, descriptors // 2, self.server_table.address_of
         )
         self.attempt_control = AttemptControl(
-            config.settings, self.clock, self.server_table.is_available, self.admits_late, self.event_log
+            config.settings,
+            self.clock,
+            self.server_table.is_available,
+            self.admits_delayed_attempt,
+            self.event_log,
         )
         self.counter = (
             CounterClient(config.counter, self.settings.counter_timeout) if config.counter else None
@@ -233,14 +237,14 @@
             except Exception:  # the other actions go on; a request left open is failed at its deadline
                 log.exception("action failed: %r", action)
 
-    def abort_request(self, work: ActiveRequest, reason: str) -> None:
+    def abort_request(self, request: ActiveRequest, reason: str) -> None:
         """Fails a request without a decision of the policy and makes the policy drop it."""
-        if not work.finished:
-            self.log_request_end(EventKind.REQUEST_FAILED, reason, work)
-        self.finish_request(work, FAILED_RESPONSE)
-        for attempt in list(work.active_attempts.values()):
+        if not request.finished:
+            self.log_request_end(EventKind.REQUEST_FAILED, reason, request)
+        self.finish_request(request, FAILED_RESPONSE)
+        for attempt in list(request.active_attempts.values()):
             self.server_connections.cancel_attempt(attempt, "cancelled")
-        self.submit_event(api.ClientDisconnected(work.id))
+        self.submit_event(api.ClientDisconnected(request.id))
 
     def apply_server_list(self, server_list: ServerList, generation: int = 0) -> Iterator[None]:
         """Applies a server list in slices, one at each step of the iterator.
@@ -311,57 +315,57 @@
             slot.reply(BUSY)
             return
         now = time.monotonic()
-        work = ActiveRequest(request.id, slot, command, now + request.remaining_time)
-        slot.active_request = work
+        active_request = ActiveRequest(request.id, slot, command, now + request.remaining_time)
+        slot.active_request = active_request
         slot.expires_at = (
             now + min(request.remaining_time + RESPONSE_MARGIN, self.longest_deadline) + LATE_ANSWER_GRACE
         )
-        self.active_requests[request.id] = work
+        self.active_requests[request.id] = active_request
         self.held_body_bytes += len(command[-1])
-        work.deadline_timer = self.loop.call_later(
+        active_request.deadline_timer = self.loop.call_later(
             max(0.0, request.remaining_time + RESPONSE_MARGIN - DEADLINE_GUARD_MARGIN),
             self.fail_overdue,
-            work,
+            active_request,
         )
         self.submit_event(request)
 
     def handle_client_gone(self, slot: ResponseSlot) -> None:
         """Ends a request whose client has gone: nothing more is sent for it."""
-        work = slot.active_request
-        if work is not None and not work.finished:
-            self.finish_request(work, b"")
-            self.submit_event(api.ClientDisconnected(work.id))
+        request = slot.active_request
+        if request is not None and not request.finished:
+            self.finish_request(request, b"")
+            self.submit_event(api.ClientDisconnected(request.id))
 
-    def fail_overdue(self, work: ActiveRequest) -> None:
+    def fail_overdue(self, request: ActiveRequest) -> None:
         """Fails a request just before its client's deadline, if the policy has not answered it."""
-        if not work.finished:
-            self.abort_request(work, "no decision before its deadline")
+        if not request.finished:
+            self.abort_request(request, "no decision before its deadline")
 
-    def finish_request(self, work: ActiveRequest, answer: bytes) -> None:
+    def finish_request(self, request: ActiveRequest, answer: bytes) -> None:
         """Sends a request's final answer; nothing else does. An empty answer sends nothing."""
-        if work.finished:
+        if request.finished:
             return
-        work.transition_to(RequestState.ANSWERED)
-        if work.deadline_timer is not None:
-            work.deadline_timer.cancel()
+        request.transition_to(RequestState.ANSWERED)
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
         if answer:
-            work.slot.reply(answer)
-        for attempt in list(work.active_attempts.values()):
+            request.slot.reply(answer)
+        for attempt in list(request.active_attempts.values()):
             if not attempt.written:  # after the final answer nothing more is sent
                 self.server_connections.cancel_attempt(attempt, "cancelled")
-        self.remove_if_done(work)
+        self.remove_if_done(request)
 
-    def remove_if_done(self, work: ActiveRequest) -> None:
+    def remove_if_done(self, request: ActiveRequest) -> None:
         """Removes a request that has been answered and has no attempt left."""
-        if work.finished and not work.active_attempts and self.active_requests.pop(work.id, None):
-            work.transition_to(RequestState.REMOVED)
-            self.held_body_bytes -= len(work.command[-1])
+        if request.finished and not request.active_attempts and self.active_requests.pop(request.id, None):
+            request.transition_to(RequestState.REMOVED)
+            self.held_body_bytes -= len(request.command[-1])
 
-    def log_request_end(self, kind: EventKind, reason: str, work: ActiveRequest) -> None:
+    def log_request_end(self, kind: EventKind, reason: str, request: ActiveRequest) -> None:
         """Logs why a request was refused or failed."""
-        client = work.slot.connection
-        ids = {"id": work.id, "connection": client.number, "state": client.state.value}
-        self.event_log.log(kind, reason, **ids, attempts=work.attempts_written)
+        client = request.slot.connection
+        ids = {"id": request.id, "connection": client.number, "state": client.state.value}
+        self.event_log.log(kind, reason, **ids, attempts=request.attempts_written)
 
     # Actions: one method for each class of actions, and the callbacks of what they start
 
@@ -383,28 +387,28 @@
 
     def send(self, action: api.Send) -> None:
         """Starts an attempt of a request at a server, if the rules still allow it."""
-        work = self.active_requests.get(action.id)
-        if work is None or work.finished:
+        request = self.active_requests.get(action.id)
+        if request is None or request.finished:
             return
-        number = work.attempts_created
-        work.attempts_created += 1
-        attempt = Attempt(action.server, self.prepare_payload, self.attempt_done, (work, number))
+        number = request.attempts_created
+        request.attempts_created += 1
+        attempt = Attempt(action.server, self.prepare_payload, self.attempt_done, (request, number))
         attempt.retry_until, attempt.slow_start = action.retry_deadline, action.slow_start
         verdict = self.attempt_control.may_write(attempt, connected_late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
-                self.finish_request(work, b"")
-            self.submit_event(api.Outcome(work.id, number, action.server, "moot", 0.0, work.finished))
+                self.finish_request(request, b"")
+            self.submit_event(api.Outcome(request.id, number, action.server, "moot", 0.0, request.finished))
             return
-        work.active_attempts[number] = attempt
+        request.active_attempts[number] = attempt
         attempt.permitted = True  # valid only during this call
-        remaining = work.deadline - time.monotonic()
+        remaining = request.deadline - time.monotonic()
         self.server_connections.send(
             attempt, min(remaining, action.timeout) if action.timeout > 0 else remaining
         )
         attempt.permitted = False
 
-    def admits_late(self, now: float, id: str, number: int, server: str) -> bool:
+    def admits_delayed_attempt(self, now: float, id: str, number: int, server: str) -> bool:
         """Asks the policy whether slow start allows an attempt whose connection was established late."""
         return self.policy.admits_delayed_attempt(now, id, number, server)
 
@@ -413,36 +417,41 @@
 
         Called when its connection is ready to be written to.
         """
-        work, _ = attempt.tag
+        request, _ = attempt.tag
         if not attempt.permitted:
             verdict = self.attempt_control.may_write(attempt, connected_late=True)
             if verdict is not Verdict.ALLOWED:
                 if verdict is Verdict.CLIENT_GONE:
-                    self.handle_client_gone(work.slot)
+                    self.handle_client_gone(request.slot)
                 return None
         return self.attempt_control.prepare_write(attempt)
 
     def attempt_done(self, attempt: Attempt) -> None:
         """Answers the request of an attempt that has ended, if it succeeded, and reports it to the policy."""
-        work, number = attempt.tag
-        result, over = attempt.result, work.finished
-        del work.active_attempts[number]
+        request, number = attempt.tag
+        result, was_finished = attempt.result, request.finished
+        del request.active_attempts[number]
         if result != "ok":
-            ids = {"id": work.id, "attempt": number, "server": attempt.server, "state": work.state.value}
+            ids = {
+                "id": request.id,
+                "attempt": number,
+                "server": attempt.server,
+                "state": request.state.value,
+            }
             self.event_log.log(EventKind.ATTEMPT_ENDED, result, **ids)
-        if over and (result == "connect_failed" or result in api.NOT_STARTED_RESULTS):
+        if was_finished and (result == "connect_failed" or result in api.NOT_STARTED_RESULTS):
             result = "moot"  # cancelled before it was sent, which says nothing about the server
-        elif result == "ok" and not over:
-            self.finish_request(work, encode_bulk_string(attempt.value))
-        self.remove_if_done(work)
+        elif result == "ok" and not was_finished:
+            self.finish_request(request, encode_bulk_string(attempt.value))
+        self.remove_if_done(request)
         self.submit_event(
             api.Outcome(
-                work.id,
+                request.id,
                 number,
                 attempt.server,
                 result,
                 attempt.elapsed(),
-                work.finished,
+                request.finished,
                 quota_use=attempt.quota_usage,
                 report=attempt.report,
             )
@@ -450,9 +459,9 @@
 
     def cancel(self, action: api.Cancel) -> None:
         """Cancels one attempt."""
-        work = self.active_requests.get(action.id)
-        if work is not None and action.attempt in work.active_attempts:
-            self.server_connections.cancel_attempt(work.active_attempts[action.attempt], "cancelled")
+        request = self.active_requests.get(action.id)
+        if request is not None and action.attempt in request.active_attempts:
+            self.server_connections.cancel_attempt(request.active_attempts[action.attempt], "cancelled")
 
     def probe(self, action: api.Probe) -> None:
         """Starts a probe of a server."""
@@ -505,8 +514,8 @@
         self.clients.drain()
         await self.wait_until_idle(started_at + self.shutdown_timeout)
         self.set_state(ProcessState.REFUSING)
-        for work in list(self.active_requests.values()):
-            self.abort_request(work, Verdict.SHUTTING_DOWN.value)
+        for request in list(self.active_requests.values()):
+            self.abort_request(request, Verdict.SHUTTING_DOWN.value)
         await self.wait_until_idle(time.monotonic() + FINAL_FLUSH_TIMEOUT)
         self.set_state(ProcessState.ENDED)
         self.clients.close()
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -347,22 +347,22 @@
 async def test_delay_before_a_late_read_is_deducted_from_the_deadline(delay, tmp_path, monkeypatch):
     """An event loop that was blocked cannot know when the bytes arrived, while the client's time went on."""
     async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
-        now, client_server = time.monotonic() + 10.0, harness.service.clients
+        now, client_connections = time.monotonic() + 10.0, harness.service.clients
         monkeypatch.setattr(clients, "monotonic", lambda: now)
-        client_server.next_poll_at = now - delay  # the check that was due then runs now
-        client_server.poll_disconnects()
+        client_connections.next_poll_at = now - delay  # the check that was due then runs now
+        client_connections.poll_disconnects()
         message = [b"API.READ", b"00000000b4d65521", b"r1", command_fields(d="1000")]
-        elapsed = gateway.RESPONSE_MARGIN + client_server.loop_lag()
+        elapsed = gateway.RESPONSE_MARGIN + client_connections.loop_lag()
         remaining = parse_request(message, harness.service.settings, elapsed).remaining_time
         assert remaining == pytest.approx(1.0 - gateway.RESPONSE_MARGIN - delay)
         now += clients.DISCONNECT_POLL_INTERVAL
-        client_server.poll_disconnects()
-        elapsed = gateway.RESPONSE_MARGIN + client_server.loop_lag()
+        client_connections.poll_disconnects()
+        elapsed = gateway.RESPONSE_MARGIN + client_connections.loop_lag()
         assert parse_request(message, harness.service.settings, elapsed).remaining_time == pytest.approx(
             1.0 - gateway.RESPONSE_MARGIN
         )
         if delay > 1.0:
-            now, client_server.last_poll_lag = client_server.last_poll_at, 600.0
+            now, client_connections.last_poll_lag = client_connections.last_poll_at, 600.0
             # Refused at once.
             assert await harness.send_command(command(fields=command_fields(d="1000"))) == b"-BUSY\r\n"
 
