--- a/calicomast/net/clients.py
+++ b/calicomast/net/clients.py
@@ -257,7 +257,11 @@
 
     def try_close(self) -> None:
         """Closes it, if nothing on it is owed."""
-        if self.transport.is_closing() or self.dispatching or self.state is ClientConnectionState.ENDING:
+        if (
+            self.transport.is_closing()
+            or self.dispatching
+            or self.state is ClientConnectionState.AWAITING_CLOSE
+        ):
             return  # what was read is answered first
         broken = self.state is ClientConnectionState.BROKEN
         verdict = may_close_connection(
@@ -273,7 +277,7 @@
         self.server.idle.pop(self, None)
         self.server.ending.setdefault(self, monotonic())
         if self.state in (ClientConnectionState.CLOSING, ClientConnectionState.BROKEN):
-            self.become(ClientConnectionState.ENDING)
+            self.become(ClientConnectionState.AWAITING_CLOSE)
         if broken:
             self.transport.write_eof()  # closing with input unread would be a reset, which can eat the error
         else:
--- a/calicomast/net/lifecycle.py
+++ b/calicomast/net/lifecycle.py
@@ -1,6 +1,7 @@
-"""States of connections, attempts, requests, calls to discovery and the process, and the changes among them.
+"""State machines of connections, attempts, requests, discovery calls and the process.
 
-Each table names the states that may follow one; any other change is a violation, see invariants.py.
+TRANSITIONS lists the states that may follow each state; any other transition violates an invariant, see
+invariants.py. The values of the states are printed in log lines.
 """
 
 from __future__ import annotations
@@ -13,56 +14,56 @@
 
 
 class ClientConnectionState(Enum):
-    """A client's connection."""
+    """State of a client's connection."""
 
-    OPEN = "open"  # read and answered
-    CLOSING = "closing"  # still read and answered; closes once nothing on it is in work or unread
-    BROKEN = "broken"  # what comes cannot be read any more; what is in work is failed
-    ENDING = "ending"  # the last answer is written; it waits for the client's end
-    DISCONNECTED = "left"  # the client has gone, or the connection was given up
+    OPEN = "open"  # commands are read and answered
+    CLOSING = "closing"  # still read and answered; closes once no command on it is pending or unread
+    BROKEN = "broken"  # no further command can be parsed; pending commands have failed
+    AWAITING_CLOSE = "ending"  # the last response is written; waits for the client to close
+    DISCONNECTED = "left"  # the client has closed, or the gateway has dropped the connection
     CLOSED = "closed"
 
 
 class ServerConnectionState(Enum):
-    """A connection to a server."""
+    """State of a connection to a server."""
 
     CONNECTING = "connecting"
     IDLE = "resting"
-    BUSY = "busy"  # an attempt is out on it
+    BUSY = "busy"  # an attempt is in flight on it
     CLOSED = "closed"
 
 
 class AttemptState(Enum):
-    """One attempt of a request at a server."""
+    """State of one attempt of a request at a server."""
 
     WAITING = "waiting"  # for a connection
-    RUNNING = "running"  # handed to a connection
+    RUNNING = "running"  # written to a connection
     ENDED = "ended"
 
 
 class RequestState(Enum):
-    """A request that was taken on."""
+    """State of a request that the gateway has accepted."""
 
     ACCEPTED = "taken"
-    ANSWERED = "answered"  # finally, or its client has gone; attempts of it may still be out
+    ANSWERED = "answered"  # has its final response, or its client has gone; attempts may still be in flight
     REMOVED = "forgotten"
 
 
 class DiscoveryCallState(Enum):
-    """One call to discovery."""
+    """State of one call to discovery."""
 
     REQUESTED = "asked"
-    APPLYING = "applying"  # its list is being put in force
+    APPLYING = "applying"  # the server list that it received is being applied
     ENDED = "ended"
 
 
 class ProcessState(Enum):
-    """The gateway as a whole."""
+    """State of the gateway process."""
 
     SERVING = "serving"  # from the start on
-    LINGERING = "lingering"  # after SIGTERM, while connections still come
-    FINISHING = "finishing"  # none come; what was taken is finished
-    REFUSING = "refusing"  # what is still read is refused at once
+    LINGERING = "lingering"  # after SIGTERM, while new connections are still accepted
+    FINISHING = "finishing"  # no new connections; accepted requests are completed
+    REFUSING = "refusing"  # commands that are still read are refused at once
     ENDED = "ended"
 
 
@@ -80,15 +81,19 @@
     ClientConnectionState.CLOSING: frozenset(
         (
             ClientConnectionState.BROKEN,
-            ClientConnectionState.ENDING,
+            ClientConnectionState.AWAITING_CLOSE,
             ClientConnectionState.DISCONNECTED,
             ClientConnectionState.CLOSED,
         )
     ),
     ClientConnectionState.BROKEN: frozenset(
-        (ClientConnectionState.ENDING, ClientConnectionState.DISCONNECTED, ClientConnectionState.CLOSED)
+        (
+            ClientConnectionState.AWAITING_CLOSE,
+            ClientConnectionState.DISCONNECTED,
+            ClientConnectionState.CLOSED,
+        )
     ),
-    ClientConnectionState.ENDING: frozenset(
+    ClientConnectionState.AWAITING_CLOSE: frozenset(
         (ClientConnectionState.DISCONNECTED, ClientConnectionState.CLOSED)
     ),
     ClientConnectionState.DISCONNECTED: frozenset((ClientConnectionState.CLOSED,)),
@@ -117,7 +122,7 @@
 
 
 def transition(old: State, new: State, subject: object = "") -> State:
-    """The new state; one that may not follow the old one is a violation, told with `subject`."""
+    """Returns the new state; records a violation that names `subject` if it may not follow the old one."""
     if new not in TRANSITIONS[old]:
         MONITOR.record_violation(
             Invariant.TRANSITION, f"{type(old).__name__} {old.value} -> {new.value} {subject}"
