--- a/calicomast/net/listener.py
+++ b/calicomast/net/listener.py
@@ -1,8 +1,9 @@
-"""The listening socket: accepts connections, and goes on after calls of accept that failed.
+"""The listening socket for clients, with a backoff after failed accept calls.
 
-The event loop's own server calls accept again at once after a failure, which takes all CPU while it lasts.
-Without descriptors (EMFILE, ENFILE) it accepts the connections that wait only to close them, and what their
-clients had asked is lost. Here a failure is followed by a pause, and what waits goes on waiting.
+asyncio's own server calls accept again at once after a failure, which takes all CPU while the failure lasts.
+When descriptors run out (EMFILE, ENFILE) it accepts waiting connections only to close them, and the commands
+that their clients have sent are lost. This listener pauses after a failure instead, and connections stay in
+the accept queue.
 """
 
 from __future__ import annotations
@@ -13,9 +14,10 @@
 from collections.abc import Callable
 from time import monotonic
 
-BACKLOG = 1024  # connections that may wait at the listener
-PAUSE_LEAST, PAUSE_MOST = 0.005, 0.05  # s after calls of accept that failed one after another
-LAST_ACCEPTS = 0.3  # s for which accept is tried again at the end, if it fails
+BACKLOG = 1024  # connections that may wait in the accept queue
+MIN_PAUSE = 0.005  # seconds after a failed accept; doubles with each further failure
+MAX_PAUSE = 0.05  # seconds
+FINAL_ACCEPT_TIMEOUT = 0.3  # seconds for which close() retries accept calls that fail
 
 log = logging.getLogger(__name__)
 
@@ -24,27 +26,28 @@
     """Accepts connections at one address.
 
     Args:
-        protocol: makes the protocol of a new connection, told for how many seconds it may have waited here
-            because accept failed.
-        failed: hears of each call of accept that failed.
+        make_protocol: makes the protocol of a new connection. Its argument is the longest time, in seconds,
+            that the connection may have waited because accept failed.
+        on_accept_error: called after each failed accept call.
     """
 
     def __init__(
         self,
-        protocol: Callable[[float], asyncio.Protocol],
-        failed: Callable[[OSError], None] = lambda err: None,
+        make_protocol: Callable[[float], asyncio.Protocol],
+        on_accept_error: Callable[[OSError], None] = lambda err: None,
     ) -> None:
-        self._protocol, self._failed = protocol, failed
+        self._make_protocol, self._on_accept_error = make_protocol, on_accept_error
         self._socket: socket.socket | None = None
         self._loop = asyncio.get_running_loop()
-        self._handed_over: set[asyncio.Task[None]] = set()
-        self._pause = PAUSE_LEAST
-        self._paused: asyncio.TimerHandle | None = None
-        self._failing_since: float | None = None  # connections that wait may have come at any time since
-        self.failures = 0  # calls of accept that failed
+        self._attaching: set[asyncio.Task[None]] = set()
+        self._pause = MIN_PAUSE
+        self._resume_timer: asyncio.TimerHandle | None = None
+        # Start of the current run of failures; connections in the queue may have come at any time since.
+        self._failing_since: float | None = None
+        self.failures = 0  # failed accept calls
 
     def open(self, host: str, port: int) -> int:
-        """Listens; returns the port, which the system picks for 0. Raises OSError."""
+        """Starts listening and returns the port, which the system assigns if `port` is 0. Raises OSError."""
         listening = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         try:
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -60,19 +63,19 @@
         return listening.getsockname()[1]
 
     def is_serving(self) -> bool:
-        """Whether it is open."""
+        """Whether the listening socket is open."""
         return self._socket is not None
 
     async def close(self) -> None:
-        """No new connections, but for those that the machine has accepted by now: what they ask was taken."""
+        """Accepts the connections in the queue, whose commands are still answered, and stops listening."""
         if self._socket is None:
             return
-        until = monotonic() + LAST_ACCEPTS
-        while monotonic() < until:
+        deadline = monotonic() + FINAL_ACCEPT_TIMEOUT
+        while monotonic() < deadline:
             if not self._accept_waiting():
                 await asyncio.sleep(self._pause)
-            elif self._handed_over:
-                await asyncio.gather(*self._handed_over)  # others may have come meanwhile
+            elif self._attaching:
+                await asyncio.gather(*self._attaching)  # more connections may come meanwhile
             else:
                 break
         self._stop_reading()
@@ -80,64 +83,70 @@
         self._socket = None
 
     def _accept_waiting(self) -> bool:
-        """Accepts all connections that wait; whether none is left."""
+        """Accepts all connections in the queue; returns False if an accept call failed."""
         for _ in range(2 * BACKLOG):
             try:
                 if not self._accept_one():
                     return True
             except OSError as err:
-                self._note(err)
+                self._record_failure(err)
                 return False
         return True
 
     def _on_readable(self) -> None:
-        """Accepts one in a turn of the loop: what those before it ask is begun first. After a failure all
-        that wait are accepted, so that it is known which did."""
+        """Accepts one connection per turn of the event loop, so that commands of earlier ones start first.
+
+        After a failure it accepts the whole queue, so that it is known which connections waited through it.
+        """
         try:
             while self._accept_one() and self._failing_since is not None:
                 pass
         except OSError as err:
-            self._note(err)
+            self._record_failure(err)
             self._stop_reading()
-            self._paused = self._loop.call_later(self._pause, self._read_again)
-            self._pause = min(PAUSE_MOST, 2 * self._pause)
+            self._resume_timer = self._loop.call_later(self._pause, self._resume_reading)
+            self._pause = min(MAX_PAUSE, 2 * self._pause)
 
     def _accept_one(self) -> bool:
-        """Accepts one connection; False if none waits. Raises OSError."""
+        """Accepts one connection; returns False if the queue is empty. Raises OSError."""
         assert self._socket is not None
         try:
             accepted, _ = self._socket.accept()
         except BlockingIOError:
             self._failing_since = None
             return False
-        self._pause = PAUSE_LEAST
+        self._pause = MIN_PAUSE
         waited = monotonic() - self._failing_since if self._failing_since is not None else 0.0
-        task = self._loop.create_task(self._hand_over(accepted, waited))
-        self._handed_over.add(task)
-        task.add_done_callback(self._handed_over.discard)
+        task = self._loop.create_task(self._attach_protocol(accepted, waited))
+        self._attaching.add(task)
+        task.add_done_callback(self._attaching.discard)
         return True
 
-    async def _hand_over(self, accepted: socket.socket, waited: float) -> None:
+    async def _attach_protocol(self, accepted: socket.socket, waited: float) -> None:
+        """Connects an accepted socket to a new protocol; closes the socket if that fails."""
         try:
-            await self._loop.connect_accepted_socket(lambda: self._protocol(waited), accepted)
-        except Exception:  # one connection must not end the others
-            log.exception("an accepted connection could not be taken over")
+            await self._loop.connect_accepted_socket(lambda: self._make_protocol(waited), accepted)
+        except Exception:  # one connection must not stop the listener
+            log.exception("failed to set up an accepted connection")
             accepted.close()
 
-    def _note(self, err: OSError) -> None:
+    def _record_failure(self, err: OSError) -> None:
+        """Counts a failed accept call and reports it."""
         self.failures += 1
         if self._failing_since is None:
             self._failing_since = monotonic()
-        self._failed(err)
+        self._on_accept_error(err)
 
     def _stop_reading(self) -> None:
-        if self._paused is not None:
-            self._paused.cancel()
-            self._paused = None
+        """Stops watching the socket, or cancels the timer that would start that again."""
+        if self._resume_timer is not None:
+            self._resume_timer.cancel()
+            self._resume_timer = None
         elif self._socket is not None:
             self._loop.remove_reader(self._socket)
 
-    def _read_again(self) -> None:
-        self._paused = None
+    def _resume_reading(self) -> None:
+        """Watches the socket again after the pause that follows a failure."""
+        self._resume_timer = None
         if self._socket is not None:
             self._loop.add_reader(self._socket, self._on_readable)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket by itself."""
+"""Tests of the listening socket alone."""
 
 import asyncio
 import socket
@@ -8,43 +8,43 @@
 from calicomast.net.listener import Listener
 
 
-class Joined(asyncio.Protocol):
-    """Notes its connection."""
+class CountingProtocol(asyncio.Protocol):
+    """Counts the connections that were handed to a protocol."""
 
-    made = 0
+    count = 0
 
     def connection_made(self, transport):
-        Joined.made += 1
+        CountingProtocol.count += 1
         self.transport = transport
 
 
 @on_loop
-async def test_what_comes_while_it_closes_is_handed_over_before_it_is_closed():
-    Joined.made = 0
-    listener, gates = Listener(lambda waited: Joined()), []
-    hand_over = listener._hand_over
+async def test_connections_accepted_during_close_are_attached_before_it_returns():
+    CountingProtocol.count = 0
+    listener, releases = Listener(lambda waited: CountingProtocol()), []
+    attach_protocol = listener._attach_protocol
 
-    async def slowly(accepted, waited):
-        gates.append(asyncio.Event())
-        await gates[-1].wait()
-        await hand_over(accepted, waited)
+    async def attach_when_released(accepted, waited):
+        releases.append(asyncio.Event())
+        await releases[-1].wait()
+        await attach_protocol(accepted, waited)
 
-    listener._hand_over = slowly
+    listener._attach_protocol = attach_when_released
     port = listener.open("127.0.0.1", 0)
     clients = [socket.create_connection(("127.0.0.1", port))]
     closing = asyncio.create_task(listener.close())
-    while not gates:
+    while not releases:
         await asyncio.sleep(0)
     clients.append(socket.create_connection(("127.0.0.1", port)))
-    while len(gates) < 2:
+    while len(releases) < 2:
         await asyncio.sleep(0)
-    gates[0].set()
-    while Joined.made < 1:
+    releases[0].set()
+    while CountingProtocol.count < 1:
         await asyncio.sleep(0)
     await asyncio.sleep(0.02)
     assert not closing.done()
-    gates[1].set()
+    releases[1].set()
     await closing
-    assert Joined.made == 2 and not listener.is_serving()
+    assert CountingProtocol.count == 2 and not listener.is_serving()
     for client in clients:
         client.close()
