--- a/calicomast/net/requests.py
+++ b/calicomast/net/requests.py
@@ -1,4 +1,4 @@
-"""Requests as clients send them: how a command is read, and what is kept of it until its answer."""
+"""Parsing of client commands into requests, and the state of a request until its final response."""
 
 from __future__ import annotations
 
@@ -12,27 +12,33 @@
 from calicomast.net.lifecycle import RequestState, transition
 from calicomast.rules import time_told
 
-MOST_LEFT = 3600.0  # s; a client that says it will wait for longer is in error
+MAX_REMAINING_TIME = 3600.0  # seconds; a client that claims to wait longer is in error
 READ, WRITE = b"API.READ", b"API.WRITE"
-TIME_FIELD = b",d="
+DEADLINE_FIELD = b",d="  # in the request terms: the client's remaining time in milliseconds
 
-# The protocol's forms: int() and float() take blanks, signs, `1_0`, `0x1` and more besides.
-WHOLE, DECIMAL = re.compile(rb"[0-9]{1,9}"), re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-CUSTOMER, MOST_CUSTOMERS = re.compile(rb"[0-9a-fA-F]{16}"), 2**33
-NAME = re.compile(rb"[!-~]{1,64}")  # ids and keys
+# Stricter than int() and float(), which also accept whitespace, signs, `1_0`, `0x1` and other forms that the
+# protocol doesn't have.
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,9}")
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
+TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+TENANT_LIMIT = 2**33  # tenant numbers are below this
+NAME_PATTERN = re.compile(rb"[!-~]{1,64}")  # request ids and idempotency keys
 
 
 class BadRequest(Exception):
-    """Why a command cannot be taken."""
+    """Raised for a command that is not a valid request; the message is sent to the client."""
 
 
 class ActiveRequest:
-    """A request that was taken: where its answer goes, what goes to servers, and what is out for it.
+    """An accepted request: its response slot, its command and its attempts at servers.
 
     Attributes:
-        deadline: on the monotonic clock, when the module is to be done with it.
-        attempts_created: attempts that the module decided on; they are numbered in this order.
-        attempts_written: those of them that were written.
+        command: the client's command, sent to servers with its deadline rewritten.
+        deadline: time on the monotonic clock by which the policy has to finish the request.
+        deadline_timer: fails the request if the policy has not finished it in time.
+        attempts_created: attempts that the policy has decided on, which are numbered in this order.
+        attempts_written: attempts whose command was written to a server.
+        active_attempts: attempts without a result, by number.
     """
 
     __slots__ = (
@@ -56,51 +62,53 @@
 
     @property
     def finished(self) -> bool:
-        """Whether it has its final answer, or its client has gone."""
+        """Whether the request has its final response, or its client has disconnected."""
         return self.state is not RequestState.ACCEPTED
 
     def transition_to(self, state: RequestState) -> None:
-        """Changes its state."""
+        """Changes the state, and checks that the transition is allowed."""
         self.state = transition(self.state, state, self.id)
 
-    def encode_command(self, left: float) -> bytes:
-        """The command as the client sent it, but for `d`: how long this attempt is waited for, in seconds
-        from now on."""
+    def encode_command(self, remaining: float) -> bytes:
+        """Encodes the client's command with `d` replaced by the remaining time.
+
+        `remaining` is the time in seconds for which the gateway waits for this attempt.
+        """
         terms = self.command[3]
-        start, end = time_field(terms)
-        told = b"%s%d%s" % (terms[:start], time_told(left), terms[end:])
-        parts = [*self.command[:3], told, *self.command[4:]]
+        start, end = locate_deadline(terms)
+        rewritten = b"%s%d%s" % (terms[:start], time_told(remaining), terms[end:])
+        parts = [*self.command[:3], rewritten, *self.command[4:]]
         return b"*%d\r\n%s" % (len(parts), b"".join([encode_bulk_string(part) for part in parts]))
 
 
-def time_field(terms: bytes) -> tuple[int, int]:
-    """Where the value of `d` begins and ends in a request's terms."""
-    start = (b"," + terms).index(TIME_FIELD) + len(TIME_FIELD) - 1
+def locate_deadline(terms: bytes) -> tuple[int, int]:
+    """Returns the start and end of the value of `d` in a request's terms."""
+    start = (b"," + terms).index(DEADLINE_FIELD) + len(DEADLINE_FIELD) - 1
     end = terms.find(b",", start)
     return start, end if end >= 0 else len(terms)
 
 
 def encode_bulk_string(data: bytes) -> bytes:
-    """A bulk string on the wire."""
+    """Encodes a RESP bulk string."""
     return b"$%d\r\n%s\r\n" % (len(data), data)
 
 
-def whole(text: bytes) -> int:
-    """A whole number; raises ValueError."""
-    if not WHOLE.fullmatch(text):
-        raise ValueError("not a whole number")
+def parse_integer(text: bytes) -> int:
+    """Parses a non-negative integer; raises ValueError."""
+    if not INTEGER_PATTERN.fullmatch(text):
+        raise ValueError("not an integer")
     return int(text)
 
 
-def decimal(text: bytes) -> float:
-    """A decimal number; raises ValueError."""
-    if not DECIMAL.fullmatch(text):
-        raise ValueError("not a number")
+def parse_decimal(text: bytes) -> float:
+    """Parses a non-negative decimal number; raises ValueError."""
+    if not DECIMAL_PATTERN.fullmatch(text):
+        raise ValueError("not a decimal number")
     return float(text)
 
 
 def validate_command(command: object) -> list[bytes]:
-    """The command, if it is a request in its form; raises BadRequest."""
+    """Returns the command if it has the form of a request; raises BadRequest if not."""
     if not isinstance(command, list) or {type(part) for part in command} - {bytes}:
         raise BadRequest("not an array of bulk strings")
     verb = command[0] if command else b""
@@ -113,46 +121,52 @@
     return command
 
 
-def parse_request(command: list[bytes], settings: api.Settings, spent: float) -> api.Request:
-    """The request that a command in its form makes; raises BadRequest. `spent`: seconds of the client's time
-    that are to be taken off."""
-    verb, customer, name, terms = command[:4]
+def parse_request(command: list[bytes], settings: api.Settings, elapsed: float) -> api.Request:
+    """Parses a command that validate_command() accepted; raises BadRequest.
+
+    `elapsed` is the time in seconds to subtract from the client's remaining time.
+    """
+    verb, tenant, request_id, terms = command[:4]
     pairs = [term.split(b"=", 1) for term in terms.split(b",")]
     try:
         fields = dict(pairs)
         cls = settings.classes.get(fields[b"c"].decode())
         plan = fields[b"t"].decode()
-        left, units = whole(fields[b"d"]) / 1000, decimal(fields[b"units"])
-        spread, first = whole(fields[b"spread"]), whole(fields[b"first"])
+        remaining, units = parse_integer(fields[b"d"]) / 1000, parse_decimal(fields[b"units"])
+        spread, first = parse_integer(fields[b"spread"]), parse_integer(fields[b"first"])
     except (KeyError, ValueError) as err:
         raise BadRequest("missing or odd field") from err
     if len(fields) != len(pairs):
         raise BadRequest("a field twice")
-    if not (CUSTOMER.fullmatch(customer) and int(customer, 16) < MOST_CUSTOMERS and NAME.fullmatch(name)):
+    if not (
+        TENANT_PATTERN.fullmatch(tenant)
+        and int(tenant, 16) < TENANT_LIMIT
+        and NAME_PATTERN.fullmatch(request_id)
+    ):
         raise BadRequest("odd customer or id")
     if cls is None or plan not in settings.plans:
         raise BadRequest("unknown class or plan")
-    write = verb == WRITE
-    keyless = cls.effect == "keyed" and not NAME.fullmatch(fields.get(b"k", b""))
-    if write == (cls.effect == "safe") or keyless:
+    is_write = verb == WRITE
+    missing_key = cls.effect == "keyed" and not NAME_PATTERN.fullmatch(fields.get(b"k", b""))
+    if is_write == (cls.effect == "safe") or missing_key:
         raise BadRequest("class does not go with this command")
     gateways = settings.gateways
     if not (
         0 < units <= settings.most_units
         and 1 <= spread <= gateways
         and first < gateways
-        and left <= MOST_LEFT
+        and remaining <= MAX_REMAINING_TIME
     ):
         raise BadRequest("field out of range")
     return api.Request(
-        name.decode(),
-        left - spent,
-        customer.decode().lower(),
+        request_id.decode(),
+        remaining - elapsed,
+        tenant.decode().lower(),
         plan,
         cls.name,
         units,
         first,
         spread,
         fields.get(b"r") == b"1",
-        write,
+        is_write,
     )
