--- a/calicomast/net/attempts.py
+++ b/calicomast/net/attempts.py
@@ -1,6 +1,6 @@
-"""Attempts at the moment of their write: asks whether each may begin, and checks what goes out.
+"""Final checks of an attempt at the moment of its write, and invariant checks on the bytes that are sent.
 
-Nothing here decides: rules.py does, from the facts that are gathered here.
+This module gathers the facts; rules.py decides from them whether an attempt may be written.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from calicomast.net.requests import ActiveRequest
 from calicomast.rules import HOLD_UP, AttemptFacts, Verdict, may_write_attempt
 
-TIME_TOLD = re.compile(rb"[\n,]d=([0-9]+)")  # in a command on the wire
-MOST_TOLD = 200  # bytes of a command in a message
-MILLISECONDS = 1000  # in a second
+PROPAGATED_DEADLINE = re.compile(rb"[\n,]d=([0-9]+)")  # milliseconds, in an encoded command
+MAX_LOGGED_BYTES = 200  # of a command, in the message of a violation
+MILLISECONDS_PER_SECOND = 1000
 
 
 class AttemptControl:
-    """Asks and checks for all attempts of one gateway.
+    """Decides whether the attempts of one gateway may be written, and checks those that are.
 
     Args:
-        listed: whether a server is one that requests may be sent to now.
-        admits_late: whether an attempt (clock time, request, number, server) may still be written to a server
-            in slow start though its connection came up late.
+        listed: returns whether requests may be sent to a server now.
+        admits_late: returns whether an attempt (clock time, request id, attempt number, server) may still be
+            written to a server in slow start whose connection came up late.
     """
 
     def __init__(
@@ -44,57 +44,68 @@
         self._admits_late, self._events = admits_late, events
 
     def may_write(self, attempt: Attempt, connected_late: bool) -> Verdict:
-        """Whether an attempt may be written now. `connected_late`: its connection came up only now."""
-        work, number = attempt.tag
+        """Returns whether an attempt may be written now, and logs a refusal.
+
+        `connected_late` means that the attempt had to wait for its connection.
+        """
+        request, number = attempt.tag
         verdict = may_write_attempt(
             AttemptFacts(
-                finished=work.finished,
-                client_gone=not work.finished and work.slot.connection.peer_has_closed(),
-                left=work.deadline - monotonic(),
+                finished=request.finished,
+                client_gone=not request.finished and request.slot.connection.peer_has_closed(),
+                left=request.deadline - monotonic(),
                 repeat_left=attempt.repeat_until - self._clock(),
-                begun=work.attempts_written,
+                begun=request.attempts_written,
                 most_attempts=self._limits.max_attempts,
-                others_out=len(work.active_attempts) - (number in work.active_attempts),
+                others_out=len(request.active_attempts) - (number in request.active_attempts),
                 second_copies=self._limits.second_copies,
                 server_listed=self._listed(attempt.host),
                 start_budget=not (connected_late and attempt.cold)
-                or self._admits_late(self._clock(), work.id, number, attempt.host),
+                or self._admits_late(self._clock(), request.id, number, attempt.host),
             )
         )
         if verdict is not Verdict.ALLOWED:
-            ids = {"id": work.id, "attempt": number, "server": attempt.host}
+            ids = {"id": request.id, "attempt": number, "server": attempt.host}
             self._events.log(EventKind.ATTEMPT_NOT_WRITTEN, verdict.value, **ids)
         return verdict
 
     def prepare_write(self, attempt: Attempt) -> bytes:
-        """What goes to the server; it counts as begun."""
-        work, _ = attempt.tag
-        work.attempts_written += 1
-        left = work.deadline - monotonic()
-        payload = work.encode_command(left)
-        self._check(attempt, work, payload, left)
+        """Encodes the command for an attempt, counts it as written and checks it against the invariants."""
+        request, _ = attempt.tag
+        request.attempts_written += 1
+        remaining = request.deadline - monotonic()
+        payload = request.encode_command(remaining)
+        self._check_invariants(attempt, request, payload, remaining)
         return payload
 
-    def _check(self, attempt: Attempt, work: ActiveRequest, payload: bytes, left: float) -> None:
-        """The rules once more, from what goes on the wire; `left`: seconds until the module's deadline."""
-        broken = self._broken(attempt, work, payload, left)
-        if broken is not None:
-            told = payload[:MOST_TOLD]
+    def _check_invariants(
+        self, attempt: Attempt, request: ActiveRequest, payload: bytes, remaining: float
+    ) -> None:
+        """Checks an encoded command against the invariants.
+
+        `remaining` is the time in seconds until the request's deadline.
+        """
+        violated = self._find_violation(attempt, request, payload, remaining)
+        if violated is not None:
+            excerpt = payload[:MAX_LOGGED_BYTES]
             detail = (
-                f"request {work.id} attempt {attempt.tag[1]} server {attempt.host} left {left:.3f} {told!r}"
+                f"request {request.id} attempt {attempt.tag[1]} server {attempt.host} "
+                f"remaining {remaining:.3f} {excerpt!r}"
             )
-            MONITOR.record_violation(broken, detail)
+            MONITOR.record_violation(violated, detail)
 
-    def _broken(self, attempt: Attempt, work: ActiveRequest, payload: bytes, left: float) -> Invariant | None:
-        """The invariant that does not hold, if one does not."""
-        limits, told = self._limits, TIME_TOLD.search(payload)
-        if told is None or int(told[1]) / MILLISECONDS > max(left, 0.0) + HOLD_UP:
+    def _find_violation(
+        self, attempt: Attempt, request: ActiveRequest, payload: bytes, remaining: float
+    ) -> Invariant | None:
+        """Returns the first invariant that the attempt violates, or None."""
+        limits, deadline = self._limits, PROPAGATED_DEADLINE.search(payload)
+        if deadline is None or int(deadline[1]) / MILLISECONDS_PER_SECOND > max(remaining, 0.0) + HOLD_UP:
             return Invariant.DEADLINE_TOLD
-        if work.finished:
+        if request.finished:
             return Invariant.ATTEMPT_AFTER_ANSWER
-        if work.attempts_written > limits.max_attempts:
+        if request.attempts_written > limits.max_attempts:
             return Invariant.ATTEMPT_LIMIT
-        if len(work.active_attempts) > 1 and not limits.second_copies:
+        if len(request.active_attempts) > 1 and not limits.second_copies:
             return Invariant.SECOND_ATTEMPT
         if attempt.repeat_until < math.inf and self._clock() > attempt.repeat_until + HOLD_UP:
             return Invariant.REPEAT_WINDOW
