--- a/calicomast/net/clients.py
+++ b/calicomast/net/clients.py
@@ -1,7 +1,7 @@
-"""The server that clients connect to: reads commands, answers in order, notes clients that left.
+"""Client connections: reads commands, writes responses in order, and detects clients that have disconnected.
 
-The states of a connection stand in lifecycle.py. One with nothing in work, one with half a command and one
-that is ending each end by a time of their own, which nothing else on the connection sets back.
+The states of a connection are in lifecycle.py. An idle connection, one with a partial command and one that is
+closing each have a timeout of their own, which no other activity on the connection resets.
 """
 
 from __future__ import annotations
@@ -24,321 +24,390 @@
 from calicomast.net.listener import Listener
 from calicomast.rules import Verdict, may_close_connection
 
-MOST_PENDING = 512  # commands of one connection in work; past that it is not read
-IDLE = 2.2  # s without a command in work, or with half a one, after which a connection is closed
-ENDING = 1.0  # s that a closing connection has for its client's end; for answers, while they still count
-STUCK = 5.0  # s without the client taking its answers, though none of them counts any more
-SWEEP = 0.25  # s between looks for those
-HALF = 0.5  # s that half a command has at least, though the idle time of its connection is over; IDLE at most
-DISCONNECT_POLL_INTERVAL = (
-    0.1  # s between looks at connections that are not read: a request of a client that left ends by 0.3 s
-)
-MOST_DROPPED = 256 * 1024  # bytes read and dropped behind lost framing, so that the close is no reset
-MOST_LOOKED_AT = 64  # idle connections asked for unread bytes when one has to go
-MOST_UNTAKEN = 1024 * 1024  # bytes of answers that wait past STUCK for a client to take them
-MOST_AWAY = 16  # connections turned away that wait for their client's end
-LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+MAX_PENDING_COMMANDS = 512  # per connection; reading is paused beyond it
+IDLE_TIMEOUT = 2.2  # seconds without a pending command, or with a partial one, until a connection is closed
+# Seconds that a closing connection waits for its client to close, or to read the responses; longer while a
+# response has not expired.
+CLOSE_TIMEOUT = 1.0
+# Seconds for which a client may leave its responses unread; longer while a response has not expired.
+WRITE_STALL_TIMEOUT = 5.0
+SWEEP_INTERVAL = 0.25  # seconds between checks of these timeouts
+# Seconds that a partial command has at least, even if the idle timeout of its connection is over. It has
+# IDLE_TIMEOUT at most.
+MIN_PARTIAL_COMMAND_TIME = 0.5
+# Seconds between checks of connections whose reading is paused, so that the request of a disconnected client
+# ends within 0.3 s.
+DISCONNECT_POLL_INTERVAL = 0.1
+# Read and discarded after lost framing, as closing with unread input would send a reset.
+MAX_DISCARDED_BYTES = 256 * 1024
+MAX_EVICTION_CANDIDATES = 64  # idle connections checked for unread bytes when one has to be evicted
+# Of responses that the client has not read. A connection with more is dropped after CLOSE_TIMEOUT or
+# WRITE_STALL_TIMEOUT, even if a response has not expired.
+MAX_UNSENT_BYTES = 1024 * 1024
+MAX_REJECTED_CONNECTIONS = 16  # rejected connections that wait for their client to close
+DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 FAILED_RESPONSE = b"-ERR failed\r\n"
 
 
 class CloseReason(Enum):
-    """Why a client's connection was closed."""
+    """Reason for closing a client's connection; the values are printed in the log and in the counters."""
 
-    CLIENT_LEFT = "client left"
+    CLIENT_DISCONNECTED = "client left"
     IDLE = "idle"
-    HALF_COMMAND = "half a command"
+    PARTIAL_COMMAND = "half a command"
     LOST_FRAMING = "lost framing"
-    HALF_COMMANDS_TOO_LARGE = "half commands too large"
+    PARTIAL_COMMANDS_TOO_LARGE = "half commands too large"
     TOO_MANY_CONNECTIONS = "too many connections"
-    MADE_ROOM = "made room"
-    NOT_ENDED = "client did not end"
-    ANSWERS_NOT_TAKEN = "answers not taken"
-    SENT_ON = "sent on behind lost framing"
+    EVICTED = "made room"
+    CLIENT_DID_NOT_CLOSE = "client did not end"
+    RESPONSES_NOT_READ = "answers not taken"
+    SENT_AFTER_LOST_FRAMING = "sent on behind lost framing"
     SHUTTING_DOWN = "shutting down"
 
 
 class ResponseSlot:
-    """The place of one command's answer among those of its connection."""
+    """The response to one command, in its place in the order of its connection's responses.
+
+    Attributes:
+        connection: the connection that the command came on.
+        response: the encoded response, once there is one.
+        active_request: the handler's state of the command while it is pending.
+        expires_at: time on the monotonic clock after which the client no longer waits for the response.
+    """
 
     __slots__ = ("connection", "response", "active_request", "expires_at")
 
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
-        self.expires_at = 0.0  # until when its answer counts
+        self.expires_at = 0.0
         self.response: bytes | None = None
-        self.active_request: Any = None  # what the handler keeps of a command that it has not answered yet
+        self.active_request: Any = None
 
-    def reply(self, answer: bytes) -> None:
+    def reply(self, response: bytes) -> None:
+        """Sets the response, which is written once those before it are; a second one is a violation."""
         if self.response is not None:
             MONITOR.record_violation(Invariant.SECOND_ANSWER, f"connection {self.connection.number}")
             return
-        self.response = answer
+        self.response = response
         self.connection.flush()
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client."""
-
-    def __init__(self, server: ClientConnections, waited: float = 0.0) -> None:
-        self.server = server
-        self.unread_for = waited  # s for which what is read next may have lain there, for a reason known here
-        self.number = next(server.numbers)
-        self.state = self.before_end = ClientConnectionState.OPEN  # before_end: the state before this one
-        self.reason = CloseReason.CLIENT_LEFT
-        self.framing = MessageFramer()
+    """One connection of a client.
+
+    Args:
+        owner: the connections that this one is added to.
+        waited: the longest time, in seconds, that the connection may have waited to be accepted.
+
+    Attributes:
+        unread_seconds: the longest time that the next bytes may have lain unread, for reasons known here.
+        number: identifies the connection in the log.
+        previous_state: the state before the current one.
+        close_reason: the first reason to leave OPEN.
+        pending: slots of commands whose response has not been written, in order of arrival.
+        partial_bytes: size of a command of which only a part has arrived.
+        discarded_bytes: bytes that were read and discarded after lost framing.
+        partial_since: time at which the partial command began.
+        written_expires_at: latest expiry of the responses that were written.
+        dispatching: whether commands that were read together are being handed to the handler.
+    """
+
+    def __init__(self, owner: ClientConnections, waited: float = 0.0) -> None:
+        self.owner = owner
+        self.unread_seconds = waited
+        self.number = next(owner.numbers)
+        self.state = self.previous_state = ClientConnectionState.OPEN
+        self.close_reason = CloseReason.CLIENT_DISCONNECTED
+        self.framer = MessageFramer()
         self.pending: deque[ResponseSlot] = deque()
-        self.partial = self.dropped = 0  # bytes of half a command; those behind lost framing
-        self.began = self.due = 0.0  # when the half command did; until when an answer that was written counts
+        self.partial_bytes = self.discarded_bytes = 0
+        self.partial_since = self.written_expires_at = 0.0
         self.writes_paused = self.reads_paused = False
-        self.paused_at = 0.0  # when reading was
-        self.dispatching = False  # commands that were read are just being handed over, one after another
+        self.reads_paused_at = 0.0
+        self.dispatching = False
         self.transport: asyncio.Transport
 
     @property
-    def closing(self) -> bool:
-        """Whether it closes once nothing on it is in work, or is closed."""
+    def is_closing(self) -> bool:
+        """Whether the connection is closed, or closes once no command on it is pending."""
         return self.state is not ClientConnectionState.OPEN
 
     @property
-    def readable(self) -> bool:
-        """Whether commands on it are still read."""
+    def is_readable(self) -> bool:
+        """Whether commands on the connection are still read."""
         return self.state is ClientConnectionState.OPEN or self.state is ClientConnectionState.CLOSING
 
-    def become(self, state: ClientConnectionState, reason: CloseReason | None = None) -> None:
-        """Changes its state; the first reason to leave OPEN is the one that is told."""
+    def transition_to(self, state: ClientConnectionState, reason: CloseReason | None = None) -> None:
+        """Changes the state. The first reason to leave OPEN is kept as the close reason."""
         if reason is not None and self.state is ClientConnectionState.OPEN:
-            self.reason = reason
-        self.before_end = self.state
+            self.close_reason = reason
+        self.previous_state = self.state
         self.state = transition(self.state, state, self.number)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop once the connection is set up."""
         self.transport = transport  # type: ignore[assignment]
-        self.server.add(self)
+        self.owner.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Called by the event loop once the connection is closed."""
         self.handle_disconnect()
-        self.become(ClientConnectionState.CLOSED)
-        self.server.remove(self)
+        self.transition_to(ClientConnectionState.CLOSED)
+        self.owner.remove(self)
 
     def eof_received(self) -> None:
-        """The client has closed. What it still waits for ends now, not only once what was written to it has
-        been taken, which may be never."""
-        if self.readable:
+        """Called by the event loop when the client has closed.
+
+        Its requests end now rather than in connection_lost(), which waits for the client to read the written
+        responses and may never be called.
+        """
+        if self.is_readable:
             self.handle_disconnect()
 
     def handle_disconnect(self) -> None:
-        """Ends what is in work for a client that has gone."""
+        """Ends the pending requests of a client that has disconnected."""
         if self.state not in (ClientConnectionState.DISCONNECTED, ClientConnectionState.CLOSED):
-            self.become(ClientConnectionState.DISCONNECTED, CloseReason.CLIENT_LEFT)
+            self.transition_to(ClientConnectionState.DISCONNECTED, CloseReason.CLIENT_DISCONNECTED)
         pending, self.pending = self.pending, deque()
         for slot in pending:
             if slot.response is None:
-                self.server.handler.gone(slot)
+                self.owner.handler.gone(slot)
 
     def check_disconnect(self) -> None:
-        """Sees a client leave whose connection is not read: its end stands behind bytes that nobody takes."""
+        """Detects a disconnect while reading is paused, when the client's FIN lies behind unread bytes."""
         if self.peer_has_closed():
             self.handle_disconnect()
             self.transport.abort()
 
     def peer_has_closed(self) -> bool:
-        """Whether the client has closed, though the loop has not read that yet."""
+        """Whether the client has closed, even if the event loop has not read that yet."""
         if self.transport.is_closing():
             return True
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
-        return any(seen & LEFT for _, seen in poll.poll(0))
+        return any(events & DISCONNECT_EVENTS for _, events in poll.poll(0))
 
     def data_received(self, data: bytes) -> None:
-        if not self.readable:
-            self.dropped += len(data)
-            if self.dropped > MOST_DROPPED:  # one that goes on sending would take CPU for nothing
+        """Called by the event loop with received bytes; hands complete commands to the handler."""
+        if not self.is_readable:
+            self.discarded_bytes += len(data)
+            if self.discarded_bytes > MAX_DISCARDED_BYTES:  # a client that keeps sending would waste CPU
                 self.transport.abort()
             return
-        self.framing.feed(data)
-        begins, self.dispatching, spoilt = not self.partial, True, False
+        self.framer.feed(data)
+        partial_is_new = not self.partial_bytes
+        self.dispatching = True
+        malformed = False
         try:
-            while (command := self.framing.next_message()) is not NO_MESSAGE:
+            while (command := self.framer.next_message()) is not NO_MESSAGE:
                 slot = ResponseSlot(self)
                 self.pending.append(slot)
-                self.server.idle.pop(self, None)
-                begins = True
-                self.server.handler.command(slot, command)
+                self.owner.idle.pop(self, None)
+                partial_is_new = True
+                self.owner.handler.command(slot, command)
         except FramingError:
-            spoilt = True
+            malformed = True
         self.dispatching = False
-        self.unread_for = 0.0
-        if not self.readable:
+        self.unread_seconds = 0.0
+        if not self.is_readable:
             return
-        if spoilt:
+        if malformed:
             self.fail(b"-ERR protocol error\r\n", CloseReason.LOST_FRAMING)
             return
-        if begins and self.framing.buffer:
-            self.began = monotonic()
-        if not self.server.track_partial(self, len(self.framing.buffer), begins):
-            self.fail(b"-ERR too much in work\r\n", CloseReason.HALF_COMMANDS_TOO_LARGE)
+        if partial_is_new and self.framer.buffer:
+            self.partial_since = monotonic()
+        if not self.owner.track_partial(self, len(self.framer.buffer), partial_is_new):
+            self.fail(b"-ERR too much in work\r\n", CloseReason.PARTIAL_COMMANDS_TOO_LARGE)
             return
-        self.throttle()
-        if self.closing and not self.pending:
+        self.update_flow_control()
+        if self.is_closing and not self.pending:
             self.try_close()
 
-    def fail(self, answer: bytes, reason: CloseReason) -> None:
-        """Nothing that follows can be read. What is in work is failed: the client is not to wait for it."""
-        self.become(ClientConnectionState.BROKEN, reason)
-        self.server.track_partial(self, 0)
+    def fail(self, response: bytes, reason: CloseReason) -> None:
+        """Stops reading commands, as no further one can be parsed, and writes `response` as the last one.
+
+        Pending commands fail at once, so that the client doesn't have to wait for them.
+        """
+        self.transition_to(ClientConnectionState.BROKEN, reason)
+        self.owner.track_partial(self, 0)
         for slot in list(self.pending):
             if slot.response is None:
                 slot.response = FAILED_RESPONSE
-                self.server.handler.gone(slot)
+                self.owner.handler.gone(slot)
         slot = ResponseSlot(self)
         self.pending.append(slot)
-        slot.reply(answer)
+        slot.reply(response)
 
     def on_idle_timeout(self) -> None:
-        """Its idle time is over."""
-        if self.transport.is_closing() or self.unread():
-            return  # it has gone, or asks just now
-        if self.partial:
-            self.expire_partial_command(HALF)
+        """Closes the connection, or fails its partial command, unless bytes of a command lie unread."""
+        if self.transport.is_closing() or self.has_unread_bytes():
+            return
+        if self.partial_bytes:
+            self.expire_partial_command(MIN_PARTIAL_COMMAND_TIME)
         else:
             self.close_when_done(CloseReason.IDLE)
 
     def expire_partial_command(self, seconds: float) -> None:
-        """Ends a command of which only a part has come for so long, unless its rest lies in the socket."""
-        if not self.readable or self.transport.is_closing() or self.began >= monotonic() - seconds:
+        """Fails a command that has been partial for `seconds`, unless more of it lies in the socket."""
+        if not self.is_readable or self.transport.is_closing() or self.partial_since >= monotonic() - seconds:
             return
-        if not self.unread():
-            self.fail(b"-ERR command not finished in time\r\n", CloseReason.HALF_COMMAND)
+        if not self.has_unread_bytes():
+            self.fail(b"-ERR command not finished in time\r\n", CloseReason.PARTIAL_COMMAND)
 
     def read_delay(self) -> float:
-        """How long, at most, what is read now has lain unread: s by which its client's time is shorter."""
-        return max(self.unread_for, self.server.loop_lag())
+        """Returns the longest time, in seconds, that the bytes read now may have lain unread.
+
+        The client's remaining time is shorter by it.
+        """
+        return max(self.unread_seconds, self.owner.loop_lag())
 
-    def unread(self) -> bool:
-        """Whether the socket holds bytes that were not read yet."""
-        told = fcntl.ioctl(self.transport.get_extra_info("socket").fileno(), termios.FIONREAD, b"\0\0\0\0")
-        return told != b"\0\0\0\0"
+    def has_unread_bytes(self) -> bool:
+        """Whether the socket holds bytes that have not been read yet."""
+        count = fcntl.ioctl(self.transport.get_extra_info("socket").fileno(), termios.FIONREAD, b"\0\0\0\0")
+        return count != b"\0\0\0\0"
 
-    def owes(self, now: float) -> bool:
-        """Whether the client still has to get an answer that counts. Past that time it may never take it."""
+    def has_unexpired_response(self, now: float) -> bool:
+        """Whether the client still has to receive a response that has not expired.
+
+        A client that has stopped waiting may never read its responses.
+        """
         return any(slot.expires_at > now for slot in self.pending) or (
-            self.due > now and self.transport.get_write_buffer_size() > 0
+            self.written_expires_at > now and self.transport.get_write_buffer_size() > 0
         )
 
     def may_be_dropped(self, now: float) -> bool:
-        """Whether to wait no longer for a client that takes nothing or does not end."""
-        return not self.owes(now) or self.transport.get_write_buffer_size() > MOST_UNTAKEN
+        """Whether to stop waiting for a client that doesn't read its responses or doesn't close."""
+        return (
+            not self.has_unexpired_response(now) or self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES
+        )
 
     def drop(self, reason: CloseReason) -> None:
-        """Lets it go at once."""
+        """Closes the connection at once, without waiting for pending or unsent responses."""
         if self.state not in (ClientConnectionState.DISCONNECTED, ClientConnectionState.CLOSED):
-            self.become(ClientConnectionState.DISCONNECTED, reason)
-        self.server.leaving.add(self)
+            self.transition_to(ClientConnectionState.DISCONNECTED, reason)
+        self.owner.dropped.add(self)
         self.transport.abort()
 
     def close_when_done(self, reason: CloseReason) -> None:
-        """What still comes on it before that is served too: it was taken."""
+        """Closes the connection once all commands on it, also those that still arrive, are answered."""
         if self.state is ClientConnectionState.OPEN:
-            self.become(ClientConnectionState.CLOSING, reason)
+            self.transition_to(ClientConnectionState.CLOSING, reason)
         self.flush()
 
     def flush(self) -> None:
-        """Writes the answers that are next in order."""
+        """Writes the responses that are next in order."""
         pending = self.pending
-        while pending and (answer := pending[0].response) is not None:
-            self.due = max(self.due, pending.popleft().expires_at)
-            self.transport.write(answer)
+        while pending and (response := pending[0].response) is not None:
+            self.written_expires_at = max(self.written_expires_at, pending.popleft().expires_at)
+            self.transport.write(response)
         if self.reads_paused:
-            self.throttle()
+            self.update_flow_control()
         if not pending:
-            self.server.rest(self)
-            if self.closing:
+            self.owner.mark_idle(self)
+            if self.is_closing:
                 self.try_close()
 
     def try_close(self) -> None:
-        """Closes it, if nothing on it is owed."""
+        """Closes the connection, unless a response is pending or bytes of a command lie unread."""
         if (
             self.transport.is_closing()
             or self.dispatching
             or self.state is ClientConnectionState.AWAITING_CLOSE
         ):
-            return  # what was read is answered first
+            return  # commands that were read are answered first
         broken = self.state is ClientConnectionState.BROKEN
         verdict = may_close_connection(
             owed=any(slot.response is None for slot in self.pending),
-            half_command=self.partial > 0,
-            unread=not broken and not self.partial and self.unread(),
+            half_command=self.partial_bytes > 0,
+            unread=not broken and not self.partial_bytes and self.has_unread_bytes(),
             broken=broken,
         )
         if verdict is not Verdict.ALLOWED:
-            self.server.idle.setdefault(self, monotonic())  # what has come was taken: it is answered first
+            # Commands that have arrived are answered first; the sweep tries again after the idle timeout.
+            self.owner.idle.setdefault(self, monotonic())
             return
         MONITOR.check(not self.pending, Invariant.CLOSED_OWING, f"connection {self.number}")
-        self.server.idle.pop(self, None)
-        self.server.ending.setdefault(self, monotonic())
+        self.owner.idle.pop(self, None)
+        self.owner.awaiting_close.setdefault(self, monotonic())
         if self.state in (ClientConnectionState.CLOSING, ClientConnectionState.BROKEN):
-            self.become(ClientConnectionState.AWAITING_CLOSE)
+            self.transition_to(ClientConnectionState.AWAITING_CLOSE)
         if broken:
-            self.transport.write_eof()  # closing with input unread would be a reset, which can eat the error
+            # Closing with unread input would send a reset, which can discard the error response.
+            self.transport.write_eof()
         else:
             self.transport.close()
 
     def pause_writing(self) -> None:
+        """Called by the event loop when the write buffer is full."""
         self.writes_paused = True
-        self.server.stuck[self] = monotonic()
-        self.throttle()
+        self.owner.write_stalled[self] = monotonic()
+        self.update_flow_control()
 
     def resume_writing(self) -> None:
+        """Called by the event loop when the write buffer has drained."""
         self.writes_paused = False
-        self.server.stuck.pop(self, None)
-        self.throttle()
+        self.owner.write_stalled.pop(self, None)
+        self.update_flow_control()
 
-    def throttle(self) -> None:
-        """A client that takes no answers or has too much in work is not read until that is over."""
-        pause = self.writes_paused or len(self.pending) >= MOST_PENDING
+    def update_flow_control(self) -> None:
+        """Pauses reading while the client doesn't read responses or has too many pending commands."""
+        pause = self.writes_paused or len(self.pending) >= MAX_PENDING_COMMANDS
         if pause != self.reads_paused and not self.transport.is_closing():
             self.reads_paused = pause
             if pause:
-                self.paused_at = monotonic()
+                self.reads_paused_at = monotonic()
                 self.transport.pause_reading()
-                self.server.unread.add(self)
+                self.owner.reading_paused.add(self)
             else:
-                self.unread_for = monotonic() - self.paused_at
+                self.unread_seconds = monotonic() - self.reads_paused_at
                 self.transport.resume_reading()
-                self.server.unread.discard(self)
+                self.owner.reading_paused.discard(self)
 
 
 class ClientConnections:
-    """`handler` has command(slot, command) and gone(slot). At most `most` connections; at most `most_partial`
-    bytes of half commands on all of them."""
-
-    def __init__(self, handler: Any, most: int, most_partial: int, events: EventLog) -> None:
-        self.handler, self.max_connections, self.max_partial_bytes, self.partial = (
-            handler,
-            most,
-            most_partial,
-            0,
-        )
-        self.events, self.numbers = events, itertools.count(1)
+    """All client connections of a gateway, with their limits and timeouts.
+
+    Args:
+        handler: has command(slot, command), called for each command, and gone(slot), called for a pending
+            command whose client has disconnected.
+        max_connections: limit of connections.
+        max_partial_bytes: limit of bytes of partial commands on all connections together.
+        events: counts and logs closed connections.
+
+    Attributes:
+        idle: connections without a pending command and since when, longest idle first.
+        partial_commands: connections with a partial command and since when, oldest first.
+        awaiting_close: connections whose last response is written and since when.
+        write_stalled: connections whose write buffer is full and since when.
+        dropped: connections that were aborted and will be lost in the next turn of the event loop.
+        rejected: connections over the limit that have been sent an error, oldest first.
+        reading_paused: connections whose reading is paused.
+    """
+
+    def __init__(self, handler: Any, max_connections: int, max_partial_bytes: int, events: EventLog) -> None:
+        self.handler = handler
+        self.max_connections = max_connections
+        self.max_partial_bytes = max_partial_bytes
+        self.partial_bytes = 0
+        self.events = events
+        self.numbers = itertools.count(1)
         self.connections: set[ClientConnection] = set()
-        self.idle: dict[ClientConnection, float] = {}  # since when, oldest first
-        self.halves: dict[ClientConnection, float] = {}  # with half a command, and since when, oldest first
-        self.ending: dict[ClientConnection, float] = {}
-        self.stuck: dict[ClientConnection, float] = {}
-        self.leaving: set[ClientConnection] = (
-            set()
-        )  # that were let go and are lost in the next turn of the loop
-        self.away: dict[ClientConnection, None] = {}  # that were turned away, oldest first
-        self.unread: set[ClientConnection] = set()  # those that are not read for now
+        self.idle: dict[ClientConnection, float] = {}
+        self.partial_commands: dict[ClientConnection, float] = {}
+        self.awaiting_close: dict[ClientConnection, float] = {}
+        self.write_stalled: dict[ClientConnection, float] = {}
+        self.dropped: set[ClientConnection] = set()
+        self.rejected: dict[ClientConnection, None] = {}
+        self.reading_paused: set[ClientConnection] = set()
         self.listener: Listener | None = None
-        self.next_poll_at = self.last_poll_at = self.last_poll_lag = (
-            0.0  # when the next look is due; when the last was, how late
-        )
-        self.timer: asyncio.TimerHandle | None = None
+        # When the next disconnect poll is due, when the last one ran, and by how many seconds that was late.
+        self.next_poll_at = self.last_poll_at = self.last_poll_lag = 0.0
+        self.sweep_timer: asyncio.TimerHandle | None = None
         self.poll_timer: asyncio.TimerHandle | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        listener = Listener(lambda waited: ClientConnection(self, waited), self.accept_failed)
+        """Starts listening and the periodic checks; returns the port. Raises OSError."""
+        listener = Listener(lambda waited: ClientConnection(self, waited), self.on_accept_error)
         port = listener.open(host, port)
         self.listener = listener
         self.sweep()
@@ -346,117 +415,146 @@
         self.poll_disconnects()
         return port
 
-    def accept_failed(self, err: OSError) -> None:
-        """Nothing is closed for it: what waits is accepted once the failure is over."""
+    def on_accept_error(self, err: OSError) -> None:
+        """Logs a failed accept call; waiting connections stay in the accept queue until it works again."""
         self.events.log(EventKind.ACCEPT_FAILED, errno.errorcode.get(err.errno or 0, str(err)))
 
-    def add(self, client: ClientConnection) -> None:
-        self.connections.add(client)
-        # Descriptors are limited. Those that are just being let go are free by the next turn of the loop.
+    def add(self, connection: ClientConnection) -> None:
+        """Adds a new connection; at the limit evicts another for it, or else rejects it."""
+        self.connections.add(connection)
+        # The limit protects descriptors; those of dropped connections are free by the next turn of the loop.
         if (
-            len(self.connections) - len(self.leaving) - len(self.away) > self.max_connections
+            len(self.connections) - len(self.dropped) - len(self.rejected) > self.max_connections
             and not self.evict_connection()
         ):
-            self.away[client] = None
-            client.fail(b"-ERR too many connections\r\n", CloseReason.TOO_MANY_CONNECTIONS)
-            if len(self.away) > MOST_AWAY:
-                next(iter(self.away)).drop(CloseReason.TOO_MANY_CONNECTIONS)
+            self.rejected[connection] = None
+            connection.fail(b"-ERR too many connections\r\n", CloseReason.TOO_MANY_CONNECTIONS)
+            if len(self.rejected) > MAX_REJECTED_CONNECTIONS:
+                next(iter(self.rejected)).drop(CloseReason.TOO_MANY_CONNECTIONS)
             return
-        self.idle[client] = monotonic() - client.unread_for  # it is owed its close from its connecting on
+        # The idle timeout counts from the client's connect, also where accept was late.
+        self.idle[connection] = monotonic() - connection.unread_seconds
 
     def evict_connection(self) -> bool:
-        """Lets a connection go that is ending anyhow, else the one that is idle for longest; none on which an
-        answer is owed or bytes lie that may be a request."""
+        """Drops a connection that waits for its client to close, or else the longest idle one.
+
+        Connections with an unexpired response, or with bytes that may be a command, are not dropped. Returns
+        False if there is no other.
+        """
         now = monotonic()
-        for client in self.ending:
-            if client not in self.leaving and client not in self.away and not client.owes(now):
-                client.drop(CloseReason.MADE_ROOM)
+        for connection in self.awaiting_close:
+            if (
+                connection not in self.dropped
+                and connection not in self.rejected
+                and not connection.has_unexpired_response(now)
+            ):
+                connection.drop(CloseReason.EVICTED)
                 return True
-        for client in [c for c, _ in zip(self.idle, range(MOST_LOOKED_AT), strict=False)]:
-            half = client.partial and client.began > now - HALF
+        for connection in [c for c, _ in zip(self.idle, range(MAX_EVICTION_CANDIDATES), strict=False)]:
+            recent_partial = (
+                connection.partial_bytes and connection.partial_since > now - MIN_PARTIAL_COMMAND_TIME
+            )
             if not (
-                client.transport.is_closing()
-                or half
-                or client.transport.get_write_buffer_size()
-                or client.unread()
+                connection.transport.is_closing()
+                or recent_partial
+                or connection.transport.get_write_buffer_size()
+                or connection.has_unread_bytes()
             ):
-                client.drop(CloseReason.MADE_ROOM)
+                connection.drop(CloseReason.EVICTED)
                 return True
         return False
 
-    def remove(self, client: ClientConnection) -> None:
-        """It is closed."""
-        if client.reason in (CloseReason.CLIENT_LEFT, CloseReason.IDLE, CloseReason.SHUTTING_DOWN):
-            self.events.count(EventKind.CLIENT_CLOSED, client.reason.value)
+    def remove(self, connection: ClientConnection) -> None:
+        """Removes a closed connection, and counts and logs why it was closed."""
+        if connection.close_reason in (
+            CloseReason.CLIENT_DISCONNECTED,
+            CloseReason.IDLE,
+            CloseReason.SHUTTING_DOWN,
+        ):
+            self.events.count(EventKind.CLIENT_CLOSED, connection.close_reason.value)
         else:
-            ids = {"connection": client.number, "state": client.before_end.value}
-            self.events.log(EventKind.CLIENT_CLOSED, client.reason.value, **ids)
-        self.connections.discard(client)
-        self.track_partial(client, 0)
-        self.unread.discard(client)
-        self.leaving.discard(client)
-        for place in (self.idle, self.ending, self.stuck, self.away):
-            place.pop(client, None)
-
-    def rest(self, client: ClientConnection) -> None:
-        self.idle.pop(client, None)
-        if not client.closing:
-            self.idle[client] = monotonic()
-
-    def track_partial(self, client: ClientConnection, partial: int, begins: bool = False) -> bool:
-        """Counts the bytes of half a command, which `begins` with them or began before; False if that is too
-        much for all connections together."""
-        self.partial += partial - client.partial
-        client.partial = partial
-        if begins or not partial:
-            self.halves.pop(client, None)
-        if partial:
-            self.halves.setdefault(client, client.began)
-        return not partial or self.partial <= self.max_partial_bytes
+            ids = {"connection": connection.number, "state": connection.previous_state.value}
+            self.events.log(EventKind.CLIENT_CLOSED, connection.close_reason.value, **ids)
+        self.connections.discard(connection)
+        self.track_partial(connection, 0)
+        self.reading_paused.discard(connection)
+        self.dropped.discard(connection)
+        for group in (self.idle, self.awaiting_close, self.write_stalled, self.rejected):
+            group.pop(connection, None)
+
+    def mark_idle(self, connection: ClientConnection) -> None:
+        """Restarts the idle timeout of a connection without pending commands, unless it is closing."""
+        self.idle.pop(connection, None)
+        if not connection.is_closing:
+            self.idle[connection] = monotonic()
+
+    def track_partial(
+        self, connection: ClientConnection, partial_bytes: int, partial_is_new: bool = False
+    ) -> bool:
+        """Records the size of a connection's partial command; 0 if it has none.
+
+        `partial_is_new` means that the command began with the bytes just read. Returns False if the partial
+        commands of all connections together exceed their limit.
+        """
+        self.partial_bytes += partial_bytes - connection.partial_bytes
+        connection.partial_bytes = partial_bytes
+        if partial_is_new or not partial_bytes:
+            self.partial_commands.pop(connection, None)
+        if partial_bytes:
+            self.partial_commands.setdefault(connection, connection.partial_since)
+        return not partial_bytes or self.partial_bytes <= self.max_partial_bytes
 
     def sweep(self) -> None:
-        self.timer = asyncio.get_running_loop().call_later(SWEEP, self.sweep)
+        """Applies the timeouts of all connections, and schedules the next sweep."""
+        self.sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL, self.sweep)
         now = monotonic()
-        for client in [c for c, since in self.idle.items() if since < now - IDLE]:
-            client.on_idle_timeout()
-        limit = max(IDLE, HALF)
-        for client in list(itertools.takewhile(lambda c: self.halves[c] < now - limit, self.halves)):
-            client.expire_partial_command(limit)
-        for place, most, reason in (
-            (self.ending, ENDING, CloseReason.NOT_ENDED),
-            (self.stuck, STUCK, CloseReason.ANSWERS_NOT_TAKEN),
+        for connection in [c for c, since in self.idle.items() if since < now - IDLE_TIMEOUT]:
+            connection.on_idle_timeout()
+        limit = max(IDLE_TIMEOUT, MIN_PARTIAL_COMMAND_TIME)
+        for connection in list(
+            itertools.takewhile(lambda c: self.partial_commands[c] < now - limit, self.partial_commands)
+        ):
+            connection.expire_partial_command(limit)
+        for group, timeout, reason in (
+            (self.awaiting_close, CLOSE_TIMEOUT, CloseReason.CLIENT_DID_NOT_CLOSE),
+            (self.write_stalled, WRITE_STALL_TIMEOUT, CloseReason.RESPONSES_NOT_READ),
         ):
-            for client in [c for c, since in place.items() if since < now - most and c.may_be_dropped(now)]:
-                client.drop(reason)
+            for connection in [
+                c for c, since in group.items() if since < now - timeout and c.may_be_dropped(now)
+            ]:
+                connection.drop(reason)
 
     def poll_disconnects(self) -> None:
+        """Checks connections whose reading is paused for a disconnect, and schedules the next check."""
         self.poll_timer = asyncio.get_running_loop().call_later(
             DISCONNECT_POLL_INTERVAL, self.poll_disconnects
         )
         now = monotonic()
-        self.last_poll_lag, self.last_poll_at, self.next_poll_at = (
-            max(0.0, now - self.next_poll_at),
-            now,
-            now + DISCONNECT_POLL_INTERVAL,
-        )
-        for client in [c for c in self.unread if not c.transport.is_closing()]:
-            client.check_disconnect()
+        self.last_poll_lag = max(0.0, now - self.next_poll_at)
+        self.last_poll_at = now
+        self.next_poll_at = now + DISCONNECT_POLL_INTERVAL
+        for connection in [c for c in self.reading_paused if not c.transport.is_closing()]:
+            connection.check_disconnect()
 
     def loop_lag(self) -> float:
-        """How long what is read now may have lain there: the loop was that late just before."""
+        """Returns by how many seconds the event loop was late just before, or 0.
+
+        Bytes that are read now may have lain unread for as long.
+        """
         return self.last_poll_lag if monotonic() - self.last_poll_at < self.last_poll_lag else 0.0
 
     async def stop_accepting(self) -> None:
-        """No new connections, but for those that the machine has accepted by now: what they ask was taken."""
+        """Accepts the connections in the queue, whose commands are still answered, and stops listening."""
         if self.listener is not None:
             await self.listener.close()
 
     def drain(self) -> None:
-        """Each connection that there is closes once all it asked has been answered."""
-        for client in list(self.connections):
-            client.close_when_done(CloseReason.SHUTTING_DOWN)
+        """Closes each connection once all commands on it are answered."""
+        for connection in list(self.connections):
+            connection.close_when_done(CloseReason.SHUTTING_DOWN)
 
     def close(self) -> None:
-        for timer in (self.timer, self.poll_timer):
+        """Stops the periodic checks."""
+        for timer in (self.sweep_timer, self.poll_timer):
             if timer is not None:
                 timer.cancel()
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -134,7 +134,7 @@
 )
 @on_loop
 async def test_a_connection_without_a_request_is_closed_in_time(sent, told, tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "IDLE", 0.1)
+    monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(sent)
@@ -142,12 +142,14 @@
         assert await reader.read() == b""
         while node.node.clients.connections:
             await asyncio.sleep(0.01)
-        assert not (node.node.clients.idle or node.node.clients.ending or node.node.clients.partial)
+        assert not (
+            node.node.clients.idle or node.node.clients.awaiting_close or node.node.clients.partial_bytes
+        )
 
 
 @on_loop
 async def test_a_connection_with_a_request_in_work_is_not_idle(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "IDLE", 0.1)
+    monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         idle, _ = await node.connect()
@@ -173,7 +175,7 @@
 
 @on_loop
 async def test_who_takes_no_answers_is_let_go(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "STUCK", 0.1)
+    monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT", 0.1)
     async with StubHost(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
         async with Node(host, path=tmp_path) as node:
             _, writer = await node.connect()
@@ -242,7 +244,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         client, served = await untaken(node)
         served.close_when_done(clients.CloseReason.IDLE)
-        assert served in node.node.clients.ending
+        assert served in node.node.clients.awaiting_close
         node.node.clients.max_connections = 1
         reader, _ = await node.connect()
         assert (await read_reply(reader)).startswith(b"-ERR too many")
@@ -260,10 +262,10 @@
         for client in list(server.connections)[:2]:
             client.fail(b"-ERR\r\n", clients.CloseReason.LOST_FRAMING)  # ends once its client does
         assert [server.evict_connection() for _ in range(5)] == [True] * 4 + [False]
-        assert server.leaving == server.connections
+        assert server.dropped == server.connections
         while server.connections:
             await asyncio.sleep(0)
-        assert not (server.leaving or server.ending or server.idle)
+        assert not (server.dropped or server.awaiting_close or server.idle)
 
 
 @on_loop
@@ -273,16 +275,18 @@
         busy, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
-        asked = [blocking(node, command(b"r%d" % n) * 3) for n in range(clients.MOST_AWAY)]
+        asked = [blocking(node, command(b"r%d" % n) * 3) for n in range(clients.MAX_REJECTED_CONNECTIONS)]
         for client in asked:
             client.shutdown(socket.SHUT_WR)
             assert (await take(client)).startswith(b"-ERR too many")  # an end, not a reset
         while len(node.node.clients.connections) > 1:
             await asyncio.sleep(0)
-        for _ in range(2 * clients.MOST_AWAY):
+        for _ in range(2 * clients.MAX_REJECTED_CONNECTIONS):
             await node.connect()
         await asyncio.sleep(0)
-        assert len(node.node.clients.connections) <= clients.MOST_AWAY + 3  # a few may be on their way
+        assert (
+            len(node.node.clients.connections) <= clients.MAX_REJECTED_CONNECTIONS + 3
+        )  # a few may be on their way
         host.writers[0].write(VALUE)
         assert await read_reply(busy) == SERVED and len(host.commands) == 1
 
@@ -290,7 +294,7 @@
 @pytest.mark.parametrize("ends", [False, True])
 @on_loop
 async def test_answers_are_waited_for_while_they_count_and_no_longer(ends, tmp_path, monkeypatch):
-    for name in ("ENDING", "STUCK"):
+    for name in ("CLOSE_TIMEOUT", "WRITE_STALL_TIMEOUT"):
         monkeypatch.setattr(clients, name, 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         client, served = await untaken(node)
@@ -299,10 +303,10 @@
         now = clients.monotonic() + 1.0
         monkeypatch.setattr(clients, "monotonic", lambda: now)
         node.node.clients.sweep()
-        assert served not in node.node.clients.leaving
+        assert served not in node.node.clients.dropped
         now += 2.0 + gateway.STILL  # past all deadlines
         node.node.clients.sweep()
-        assert served in node.node.clients.leaving
+        assert served in node.node.clients.dropped
         client.close()
 
 
@@ -330,10 +334,11 @@
 
         node.node.module = Mute()
         _, writer = await node.connect()
-        for n in range(clients.MOST_PENDING):
+        for n in range(clients.MAX_PENDING_COMMANDS):
             writer.write(command(b"r%d" % n, terms=terms(d="600000")))
         while (
-            not (there := list(node.node.clients.connections)) or len(there[0].pending) < clients.MOST_PENDING
+            not (there := list(node.node.clients.connections))
+            or len(there[0].pending) < clients.MAX_PENDING_COMMANDS
         ):
             await asyncio.sleep(0)
         assert there[0].reads_paused
@@ -341,13 +346,13 @@
         writer.close()
         while node.node.works or node.node.clients.connections:  # long before any of their deadlines
             await asyncio.sleep(0)
-        assert not node.node.clients.unread
+        assert not node.node.clients.reading_paused
 
 
 @on_loop
 async def test_a_client_that_left_with_answers_not_taken_has_its_requests_ended(tmp_path, monkeypatch):
     """Its connection cannot be flushed, so it is not lost to the loop for a while yet."""
-    monkeypatch.setattr(clients, "STUCK", 600.0)
+    monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT", 600.0)
     async with StubHost(b"*3\r\n$20000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 20000)) as host:
         async with Node(host, path=tmp_path) as node:
             _, writer = await node.connect()
@@ -444,21 +449,21 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         text, (reader, writer) = command(), await node.connect()
         writer.write(text[:9])
-        while not (there := list(node.node.clients.connections)) or not there[0].partial:
+        while not (there := list(node.node.clients.connections)) or not there[0].partial_bytes:
             await asyncio.sleep(0)
         (client,), server = there, node.node.clients
-        server.idle[client] -= clients.IDLE  # as if the first part had come at its end
+        server.idle[client] -= clients.IDLE_TIMEOUT  # as if the first part had come at its end
         server.sweep()
-        client.began -= clients.HALF
+        client.partial_since -= clients.MIN_PARTIAL_COMMAND_TIME
         writer.write(text[9:] + text[:9])  # the next one's time begins with its own first part
         assert await read_reply(reader) == SERVED
-        while not client.partial or client not in server.idle:
+        while not client.partial_bytes or client not in server.idle:
             await asyncio.sleep(0)
-        server.idle[client] -= clients.IDLE
+        server.idle[client] -= clients.IDLE_TIMEOUT
         server.sweep()
-        assert not client.closing
-        server.idle[client] -= clients.IDLE
-        client.began -= clients.HALF
+        assert not client.is_closing
+        server.idle[client] -= clients.IDLE_TIMEOUT
+        client.partial_since -= clients.MIN_PARTIAL_COMMAND_TIME
         server.sweep()
         assert await read_reply(reader) == b"-ERR command not finished in time\r\n"
 
@@ -473,27 +478,27 @@
 
         module, node.node.module = node.node.module, Mute()
         reader, writer = await node.connect()
-        for n in range(clients.MOST_PENDING):
+        for n in range(clients.MAX_PENDING_COMMANDS):
             writer.write(command(b"r%d" % n))
-        while not node.node.clients.unread:
+        while not node.node.clients.reading_paused:
             await asyncio.sleep(0)
-        (client,) = node.node.clients.unread
+        (client,) = node.node.clients.reading_paused
         writer.write(command(b"last"))
-        while not client.unread():
+        while not client.has_unread_bytes():
             await asyncio.sleep(0)
         node.node.module = module
         node.node.clients.drain()
         for work in list(node.node.works.values())[::-1]:  # so that the first releases all the others
             node.node.finish(work, SERVED)
-        assert [await read_reply(reader) for _ in range(clients.MOST_PENDING + 2)] == (
-            [SERVED] * (clients.MOST_PENDING + 1) + [b""]
+        assert [await read_reply(reader) for _ in range(clients.MAX_PENDING_COMMANDS + 2)] == (
+            [SERVED] * (clients.MAX_PENDING_COMMANDS + 1) + [b""]
         )
         assert [c[2] for c in host.commands] == [b"last"]
 
 
 @on_loop
 async def test_half_a_command_ends_in_time_though_another_is_in_work(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "IDLE", 0.1)
+    monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"r1", terms=terms(d="3600000")))
@@ -514,9 +519,9 @@
 
         module, node.node.module = node.node.module, Mute()
         reader, writer = await node.connect()
-        for n in range(clients.MOST_PENDING):
+        for n in range(clients.MAX_PENDING_COMMANDS):
             writer.write(command(b"r%d" % n))
-        while not node.node.clients.unread:
+        while not node.node.clients.reading_paused:
             await asyncio.sleep(0)
         writer.write(command(b"last"))
         asked = time.monotonic()
@@ -525,7 +530,7 @@
         node.node.module = module
         for work in list(node.node.works.values()):
             node.node.finish(work, SERVED)
-        assert [await read_reply(reader) for _ in range(clients.MOST_PENDING + 1)][-1] == SERVED
+        assert [await read_reply(reader) for _ in range(clients.MAX_PENDING_COMMANDS + 1)][-1] == SERVED
         assert time_told(host) <= 3000 - 1000 * waited + 150
 
 
