--- a/tests/test_coverage_table.py
+++ b/tests/test_coverage_table.py
@@ -1,4 +1,4 @@
-"""The coverage table of the fault hunt names code and tests that exist, and speaks of every crossing."""
+"""Checks that coverage.toml, the table of rules, has no gaps and names code and tests that exist."""
 
 import importlib
 import re
@@ -11,11 +11,11 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 TABLE = tomllib.loads((ROOT / "docs" / "incidents" / "coverage.toml").read_text())
-INVARIANTS = {judge.__name__ for judge in JUDGES}
+SOAK_INVARIANTS = {judge.__name__ for judge in JUDGES}
 
 
 def resolve(path):
-    """The function or class that a dotted path below the package names."""
+    """Returns the function, class or property that a dotted path below the package names."""
     words = path.split(".")
     for count in range(len(words), 0, -1):
         try:
@@ -28,18 +28,18 @@
     raise AssertionError(path)
 
 
-def forces(test):
-    """Whether a test or an invariant of the soak of this name exists."""
-    if test.startswith("soak "):
-        return test.removeprefix("soak ") in INVARIANTS
-    file, _, name = test.partition("::")
-    return re.search(rf"^(async )?def {name}\(", (ROOT / "tests" / file).read_text(), re.M) is not None
+def is_existing_test(name):
+    """Whether a test, given as file::function, or an invariant of the soak, given as "soak ...", exists."""
+    if name.startswith("soak "):
+        return name.removeprefix("soak ") in SOAK_INVARIANTS
+    file, _, function = name.partition("::")
+    return re.search(rf"^(async )?def {function}\(", (ROOT / "tests" / file).read_text(), re.M) is not None
 
 
 @pytest.mark.parametrize("rule", TABLE["rule"], ids=lambda rule: rule["name"][:40])
-def test_each_crossing_of_a_rule_is_kept_by_code_that_exists(rule):
+def test_every_situation_of_a_rule_names_existing_code_and_test(rule):
     columns = TABLE["columns"]
     assert sorted([*rule["untouched"], *rule["cells"]]) == sorted(columns)
-    for keeper, test in rule["cells"].values():
-        assert callable(resolve(keeper)) or isinstance(resolve(keeper), property)
-        assert test == "none" or forces(test), test
+    for code, test in rule["cells"].values():
+        assert callable(resolve(code)) or isinstance(resolve(code), property)
+        assert test == "none" or is_existing_test(test), test
