--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -1,4 +1,4 @@
-"""Clients: bad input, the order of answers, those that leave."""
+"""Client connections: invalid input, order of responses, timeouts, limits, disconnects and shutdown."""
 
 import asyncio
 import contextlib
@@ -48,12 +48,12 @@
         command(terms=terms(d="9" * 400)),
         command(terms=terms(d="9" * 12)),
         command(terms=terms(units="1e999")),
-        command(terms=terms(c="write"), verb=b"API.WRITE", body=b"x"),  # keyed, without its key
+        command(terms=terms(c="write"), verb=b"API.WRITE", body=b"x"),  # a keyed class without a key
         command(terms=terms(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
     ],
 )
 @on_loop
-async def test_bad_commands_are_answered_and_the_connection_goes_on(bad, tmp_path):
+async def test_invalid_command_gets_error_and_connection_stays_usable(bad, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(bad + b"*1\r\n$4\r\nPING\r\n")
@@ -82,7 +82,7 @@
     ],
 )
 @on_loop
-async def test_lost_framing_ends_only_its_own_connection(bad, tmp_path):
+async def test_malformed_framing_closes_only_its_own_connection(bad, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(bad)
@@ -92,7 +92,7 @@
 
 
 @on_loop
-async def test_answers_come_in_the_order_of_the_commands(tmp_path):
+async def test_responses_are_sent_in_order_of_commands(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"slow"))
@@ -104,18 +104,18 @@
 
 
 @on_loop
-async def test_a_client_that_left_has_its_attempt_called_off(tmp_path):
+async def test_disconnect_cancels_the_attempt(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         _, writer = await node.connect()
         writer.write(command())
         await host.arrived.get()
         writer.close()
-        assert await host.arrived.get() is None  # the connection to the host ended
+        assert await host.arrived.get() is None  # the connection to the server was closed
         assert not node.node.works
 
 
 @on_loop
-async def test_what_comes_on_a_connection_that_is_to_close_is_served(tmp_path):
+async def test_commands_received_while_draining_are_served(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"first"))
@@ -130,15 +130,15 @@
 
 
 @pytest.mark.parametrize(
-    "sent, told", [(b"", b""), (b"*4\r\n$8\r\nAPI.R", b"-ERR"), (b"*1\r\n$4\r\nPING\r\n", b"+PONG")]
+    "sent, expected", [(b"", b""), (b"*4\r\n$8\r\nAPI.R", b"-ERR"), (b"*1\r\n$4\r\nPING\r\n", b"+PONG")]
 )
 @on_loop
-async def test_a_connection_without_a_request_is_closed_in_time(sent, told, tmp_path, monkeypatch):
+async def test_connection_without_request_is_closed_after_idle_timeout(sent, expected, tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(sent)
-        assert (await read_reply(reader)).startswith(told)
+        assert (await read_reply(reader)).startswith(expected)
         assert await reader.read() == b""
         while node.node.clients.connections:
             await asyncio.sleep(0.01)
@@ -148,33 +148,33 @@
 
 
 @on_loop
-async def test_a_connection_with_a_request_in_work_is_not_idle(tmp_path, monkeypatch):
+async def test_connection_with_pending_request_is_not_closed_as_idle(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         idle, _ = await node.connect()
         writer.write(command())
         await host.arrived.get()
-        assert await idle.read() == b""  # this one went, some sweeps later
+        assert await idle.read() == b""  # closed after its idle timeout
         host.writers[0].write(VALUE)
         assert await read_reply(reader) == SERVED
 
 
 @on_loop
-async def test_lost_framing_does_not_wait_for_what_is_in_work(tmp_path):
+async def test_malformed_framing_fails_pending_requests_at_once(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command())
         await host.arrived.get()
         writer.write(b"nonsense" + b"x" * 100_000)
-        assert await read_reply(reader) == b"-ERR failed\r\n"  # its one answer, though the host is silent
+        assert await read_reply(reader) == b"-ERR failed\r\n"  # though the server sends no response
         assert (await read_reply(reader)).startswith(b"-ERR protocol")
-        assert await reader.read() == b""  # an end, not a reset, though there was more to read
+        assert await reader.read() == b""  # EOF, not a reset, though input was unread
         assert await host.arrived.get() is None and not node.node.works
 
 
 @on_loop
-async def test_who_takes_no_answers_is_let_go(tmp_path, monkeypatch):
+async def test_client_that_reads_no_responses_is_dropped(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT", 0.1)
     async with StubHost(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
         async with Node(host, path=tmp_path) as node:
@@ -190,7 +190,7 @@
 
 
 @on_loop
-async def test_at_the_limit_the_longest_idle_goes_and_with_all_busy_the_newcomer(tmp_path):
+async def test_connection_limit_evicts_longest_idle_or_rejects_new_connection(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         node.node.clients.max_connections = 2
         node.node.module.fleet.limit = 100.0
@@ -209,109 +209,119 @@
         assert [await read_reply(reader) for reader in busy] == [SERVED, SERVED]
 
 
-LONG = b"$60000\r\n" + b"v" * 60000 + b"\r\n"
+LONG_RESPONSE = b"$60000\r\n" + b"v" * 60000 + b"\r\n"
 
 
-async def untaken(node, count=10):
-    """A client that has asked `count` times and takes no answer yet; its end of the gateway's connection."""
+async def connect_with_unread_responses(node, count=10):
+    """Connects a client that sends `count` requests and reads no response.
+
+    Returns the client's socket and the gateway's connection of it.
+    """
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client.connect(("127.0.0.1", node.port))
     client.setblocking(False)
     before = set(node.node.clients.connections)
-    while not (there := node.node.clients.connections - before):
+    while not (added := node.node.clients.connections - before):
         await asyncio.sleep(0)
-    (served,) = there
-    served.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    (connection,) = added
+    connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+
+    class SilentPolicy:
+        """Decides nothing."""
 
-    class Mute:
         def handle(self, now, event):
             return []
 
-    module, node.node.module = node.node.module, Mute()
+    module, node.node.module = node.node.module, SilentPolicy()
     client.send(b"".join(command(b"u%d" % n) for n in range(count)))
-    while len(served.pending) < count:
+    while len(connection.pending) < count:
         await asyncio.sleep(0)
     node.node.module = module
-    for work in list(node.node.works.values()):
-        node.node.finish(work, LONG)
-    assert served.transport.get_write_buffer_size()
-    return client, served
+    for request in list(node.node.works.values()):
+        node.node.finish(request, LONG_RESPONSE)
+    assert connection.transport.get_write_buffer_size()
+    return client, connection
 
 
 @on_loop
-async def test_room_is_not_made_at_the_cost_of_an_answer_that_is_not_taken_yet(tmp_path):
+async def test_connection_with_unread_responses_is_not_evicted(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        client, served = await untaken(node)
-        served.close_when_done(clients.CloseReason.IDLE)
-        assert served in node.node.clients.awaiting_close
+        client, connection = await connect_with_unread_responses(node)
+        connection.close_when_done(clients.CloseReason.IDLE)
+        assert connection in node.node.clients.awaiting_close
         node.node.clients.max_connections = 1
         reader, _ = await node.connect()
         assert (await read_reply(reader)).startswith(b"-ERR too many")
-        assert await take(client) == LONG * 10
+        assert await read_to_end(client) == LONG_RESPONSE * 10
 
 
 @on_loop
-async def test_each_newcomer_takes_the_place_of_another(tmp_path):
+async def test_each_eviction_drops_a_different_connection(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        server = node.node.clients
+        client_connections = node.node.clients
         for _ in range(4):
             await node.connect()
-        while len(server.connections) < 4:
+        while len(client_connections.connections) < 4:
             await asyncio.sleep(0)
-        for client in list(server.connections)[:2]:
-            client.fail(b"-ERR\r\n", clients.CloseReason.LOST_FRAMING)  # ends once its client does
-        assert [server.evict_connection() for _ in range(5)] == [True] * 4 + [False]
-        assert server.dropped == server.connections
-        while server.connections:
+        for client in list(client_connections.connections)[:2]:
+            client.fail(b"-ERR\r\n", clients.CloseReason.LOST_FRAMING)  # closes once its client does
+        assert [client_connections.evict_connection() for _ in range(5)] == [True] * 4 + [False]
+        assert client_connections.dropped == client_connections.connections
+        while client_connections.connections:
             await asyncio.sleep(0)
-        assert not (server.dropped or server.awaiting_close or server.idle)
+        assert not (
+            client_connections.dropped or client_connections.awaiting_close or client_connections.idle
+        )
 
 
 @on_loop
-async def test_one_that_is_turned_away_hears_of_it_though_it_has_asked(tmp_path):
+async def test_rejected_connection_gets_error_though_it_has_sent_commands(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         node.node.clients.max_connections = 1
         busy, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
-        asked = [blocking(node, command(b"r%d" % n) * 3) for n in range(clients.MAX_REJECTED_CONNECTIONS)]
-        for client in asked:
+        rejected = [
+            connect_and_send(node, command(b"r%d" % n) * 3) for n in range(clients.MAX_REJECTED_CONNECTIONS)
+        ]
+        for client in rejected:
             client.shutdown(socket.SHUT_WR)
-            assert (await take(client)).startswith(b"-ERR too many")  # an end, not a reset
+            assert (await read_to_end(client)).startswith(b"-ERR too many")  # EOF, not a reset
         while len(node.node.clients.connections) > 1:
             await asyncio.sleep(0)
         for _ in range(2 * clients.MAX_REJECTED_CONNECTIONS):
             await node.connect()
         await asyncio.sleep(0)
-        assert (
-            len(node.node.clients.connections) <= clients.MAX_REJECTED_CONNECTIONS + 3
-        )  # a few may be on their way
+        # A few may still be in the course of being accepted or closed.
+        assert len(node.node.clients.connections) <= clients.MAX_REJECTED_CONNECTIONS + 3
         host.writers[0].write(VALUE)
         assert await read_reply(busy) == SERVED and len(host.commands) == 1
 
 
-@pytest.mark.parametrize("ends", [False, True])
+@pytest.mark.parametrize("closing", [False, True])
 @on_loop
-async def test_answers_are_waited_for_while_they_count_and_no_longer(ends, tmp_path, monkeypatch):
+async def test_closing_and_stalled_connections_are_kept_until_responses_expire(
+    closing, tmp_path, monkeypatch
+):
     for name in ("CLOSE_TIMEOUT", "WRITE_STALL_TIMEOUT"):
         monkeypatch.setattr(clients, name, 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        client, served = await untaken(node)
-        if ends:
-            served.close_when_done(clients.CloseReason.IDLE)
+        client, connection = await connect_with_unread_responses(node)
+        if closing:
+            connection.close_when_done(clients.CloseReason.IDLE)
         now = clients.monotonic() + 1.0
         monkeypatch.setattr(clients, "monotonic", lambda: now)
         node.node.clients.sweep()
-        assert served not in node.node.clients.dropped
+        assert connection not in node.node.clients.dropped
         now += 2.0 + gateway.STILL  # past all deadlines
         node.node.clients.sweep()
-        assert served in node.node.clients.dropped
+        assert connection in node.node.clients.dropped
         client.close()
 
 
 @on_loop
-async def test_half_commands_together_are_bounded(tmp_path):
+async def test_total_size_of_partial_commands_is_limited(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.clients.max_partial_bytes = 100_000
         readers = []
@@ -325,33 +335,35 @@
 
 
 @on_loop
-async def test_a_client_that_sent_much_and_left_is_noticed_though_it_is_not_read(tmp_path):
+async def test_disconnect_is_detected_while_reading_is_paused(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
 
-        class Mute:
+        class SilentPolicy:
+            """Decides nothing."""
+
             def handle(self, now, event):
                 return []
 
-        node.node.module = Mute()
+        node.node.module = SilentPolicy()
         _, writer = await node.connect()
         for n in range(clients.MAX_PENDING_COMMANDS):
             writer.write(command(b"r%d" % n, terms=terms(d="600000")))
         while (
-            not (there := list(node.node.clients.connections))
-            or len(there[0].pending) < clients.MAX_PENDING_COMMANDS
+            not (connections := list(node.node.clients.connections))
+            or len(connections[0].pending) < clients.MAX_PENDING_COMMANDS
         ):
             await asyncio.sleep(0)
-        assert there[0].reads_paused
+        assert connections[0].reads_paused
         writer.write(command(b"unread"))
         writer.close()
-        while node.node.works or node.node.clients.connections:  # long before any of their deadlines
+        while node.node.works or node.node.clients.connections:  # long before their deadlines
             await asyncio.sleep(0)
         assert not node.node.clients.reading_paused
 
 
 @on_loop
-async def test_a_client_that_left_with_answers_not_taken_has_its_requests_ended(tmp_path, monkeypatch):
-    """Its connection cannot be flushed, so it is not lost to the loop for a while yet."""
+async def test_disconnect_with_unread_responses_ends_pending_requests(tmp_path, monkeypatch):
+    """The written responses can't be flushed, so connection_lost() is not called for a while yet."""
     monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT", 600.0)
     async with StubHost(b"*3\r\n$20000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 20000)) as host:
         async with Node(host, path=tmp_path) as node:
@@ -369,114 +381,118 @@
             writer.write(command(b"waits", terms=terms(d="600000")))
             while not client.pending:
                 await asyncio.sleep(0)
-            assert not client.reads_paused  # it is read, and its end is seen
-            writer.write_eof()  # half closed, as the end of one that leaves looks at first
+            assert not client.reads_paused  # so the EOF is read
+            writer.write_eof()  # a half-close, which a full close looks like at first
             while node.node.works:
                 await asyncio.sleep(0)
             assert client.transport.get_write_buffer_size()
 
 
-def blocking(node, text):
-    """A client that has connected and sent `text` before the gateway's loop turns once more."""
+def connect_and_send(node, text):
+    """Connects a client and sends `text` before the event loop runs again; returns its socket."""
     client = socket.create_connection(("127.0.0.1", node.port))
     client.sendall(text)
     client.setblocking(False)
     return client
 
 
-async def take(client):
-    """All that a client gets to the end of its connection."""
-    got, loop = b"", asyncio.get_running_loop()
+async def read_to_end(client):
+    """Reads from a client's socket until EOF and closes it; returns all the bytes."""
+    received, loop = b"", asyncio.get_running_loop()
     while data := await loop.sock_recv(client, 65536):
-        got += data
+        received += data
     client.close()
-    return got
+    return received
 
 
 @on_loop
-async def test_what_was_sent_before_an_idle_connection_is_closed_is_served(tmp_path):
+async def test_command_unread_when_draining_begins_is_served(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        client = blocking(node, b"")
+        client = connect_and_send(node, b"")
         while not node.node.clients.connections:
             await asyncio.sleep(0)
-        client.send(command())  # lies unread
+        client.send(command())  # the gateway has not read it yet
         node.node.clients.drain()
-        assert await take(client) == SERVED
+        assert await read_to_end(client) == SERVED
 
 
 @on_loop
-async def test_commands_read_together_before_a_close_are_all_answered(tmp_path):
-    """Though the first of them is answered at once, which leaves nothing in work."""
+async def test_commands_read_together_before_close_are_all_answered(tmp_path):
+    """The first is answered at once, so no command is pending while the others are not dispatched yet."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        client = blocking(node, b"")
+        client = connect_and_send(node, b"")
         while not node.node.clients.connections:
             await asyncio.sleep(0)
         client.send(b"*1\r\n$4\r\nPING\r\n" + command(b"refused", terms=terms(d="1")) + command())
         node.node.clients.drain()
-        assert await take(client) == b"+PONG\r\n-BUSY\r\n" + SERVED
+        assert await read_to_end(client) == b"+PONG\r\n-BUSY\r\n" + SERVED
 
 
 @on_loop
-async def test_a_command_behind_the_last_answer_is_served_before_the_close(tmp_path):
+async def test_command_unread_at_last_response_is_served_before_close(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        client = blocking(node, command(b"first"))
+        client = connect_and_send(node, command(b"first"))
         await host.arrived.get()
         node.node.clients.drain()
-        (work,) = node.node.works.values()
-        client.send(command(b"second"))  # lies unread
+        (request,) = node.node.works.values()
+        client.send(command(b"second"))  # the gateway has not read it yet
         host.answer = VALUE
-        node.node.finish(work, SERVED)
-        assert await take(client) == SERVED * 2
+        node.node.finish(request, SERVED)
+        assert await read_to_end(client) == SERVED * 2
 
 
 @on_loop
-async def test_connections_that_wait_at_the_listener_are_served_at_the_end(tmp_path):
+async def test_connections_in_accept_queue_are_served_at_shutdown(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         ping, pong = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
-        asked = [blocking(node, ping) for _ in range(60)] + [
-            blocking(node, command(b"r%d" % n)) for n in range(8)
+        waiting = [connect_and_send(node, ping) for _ in range(60)] + [
+            connect_and_send(node, command(b"r%d" % n)) for n in range(8)
         ]
         assert not node.node.clients.connections
         await node.node.clients.stop_accepting()
         node.node.clients.drain()
-        assert [await take(client) for client in asked] == [pong] * 60 + [SERVED] * 8
+        assert [await read_to_end(client) for client in waiting] == [pong] * 60 + [SERVED] * 8
         with pytest.raises(ConnectionError):
-            blocking(node, b"")
+            connect_and_send(node, b"")
 
 
 @on_loop
-async def test_a_command_in_two_parts_crosses_the_end_of_the_idle_time(tmp_path):
+async def test_partial_command_at_idle_timeout_gets_time_to_complete(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         text, (reader, writer) = command(), await node.connect()
         writer.write(text[:9])
-        while not (there := list(node.node.clients.connections)) or not there[0].partial_bytes:
+        while not (connections := list(node.node.clients.connections)) or not connections[0].partial_bytes:
             await asyncio.sleep(0)
-        (client,), server = there, node.node.clients
-        server.idle[client] -= clients.IDLE_TIMEOUT  # as if the first part had come at its end
-        server.sweep()
+        (client,), client_connections = connections, node.node.clients
+        client_connections.idle[client] -= (
+            clients.IDLE_TIMEOUT
+        )  # as if the first part had come at the idle timeout
+        client_connections.sweep()
         client.partial_since -= clients.MIN_PARTIAL_COMMAND_TIME
-        writer.write(text[9:] + text[:9])  # the next one's time begins with its own first part
+        writer.write(text[9:] + text[:9])  # the next command's time counts from its own first part
         assert await read_reply(reader) == SERVED
-        while not client.partial_bytes or client not in server.idle:
+        while not client.partial_bytes or client not in client_connections.idle:
             await asyncio.sleep(0)
-        server.idle[client] -= clients.IDLE_TIMEOUT
-        server.sweep()
+        client_connections.idle[client] -= clients.IDLE_TIMEOUT
+        client_connections.sweep()
         assert not client.is_closing
-        server.idle[client] -= clients.IDLE_TIMEOUT
+        client_connections.idle[client] -= clients.IDLE_TIMEOUT
         client.partial_since -= clients.MIN_PARTIAL_COMMAND_TIME
-        server.sweep()
+        client_connections.sweep()
         assert await read_reply(reader) == b"-ERR command not finished in time\r\n"
 
 
 @on_loop
-async def test_what_a_client_not_read_for_a_while_has_sent_is_served_before_its_close(tmp_path):
+async def test_command_sent_while_reading_is_paused_is_served_before_close(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
 
-        class Mute:
+        class SilentPolicy:
+            """Decides nothing."""
+
             def handle(self, now, event):
                 return []
 
-        module, node.node.module = node.node.module, Mute()
+        module, node.node.module = node.node.module, SilentPolicy()
         reader, writer = await node.connect()
         for n in range(clients.MAX_PENDING_COMMANDS):
             writer.write(command(b"r%d" % n))
@@ -488,8 +504,8 @@
             await asyncio.sleep(0)
         node.node.module = module
         node.node.clients.drain()
-        for work in list(node.node.works.values())[::-1]:  # so that the first releases all the others
-            node.node.finish(work, SERVED)
+        for request in list(node.node.works.values())[::-1]:  # so that the first releases the others
+            node.node.finish(request, SERVED)
         assert [await read_reply(reader) for _ in range(clients.MAX_PENDING_COMMANDS + 2)] == (
             [SERVED] * (clients.MAX_PENDING_COMMANDS + 1) + [b""]
         )
@@ -497,7 +513,7 @@
 
 
 @on_loop
-async def test_half_a_command_ends_in_time_though_another_is_in_work(tmp_path, monkeypatch):
+async def test_partial_command_times_out_while_another_is_pending(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
@@ -510,14 +526,16 @@
 
 
 @on_loop
-async def test_what_lay_unread_while_a_client_was_not_read_has_only_the_rest_of_its_time(tmp_path):
+async def test_time_unread_while_reading_was_paused_is_subtracted_from_deadline(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
 
-        class Mute:
+        class SilentPolicy:
+            """Decides nothing."""
+
             def handle(self, now, event):
                 return []
 
-        module, node.node.module = node.node.module, Mute()
+        module, node.node.module = node.node.module, SilentPolicy()
         reader, writer = await node.connect()
         for n in range(clients.MAX_PENDING_COMMANDS):
             writer.write(command(b"r%d" % n))
@@ -526,23 +544,23 @@
         writer.write(command(b"last"))
         asked = time.monotonic()
         await asyncio.sleep(0.4)
-        waited = time.monotonic() - asked  # it is not read before
+        waited = time.monotonic() - asked  # the command has not been read before now
         node.node.module = module
-        for work in list(node.node.works.values()):
-            node.node.finish(work, SERVED)
+        for request in list(node.node.works.values()):
+            node.node.finish(request, SERVED)
         assert [await read_reply(reader) for _ in range(clients.MAX_PENDING_COMMANDS + 1)][-1] == SERVED
         assert time_told(host) <= 3000 - 1000 * waited + 150
 
 
 @on_loop
-async def test_the_time_of_an_idle_client_begins_with_its_connecting_though_accept_failed(tmp_path):
-    """A client that says nothing is owed its close within 3 s of connecting."""
+async def test_idle_timeout_counts_from_connect_when_accept_has_failed(tmp_path):
+    """A client that sends nothing must be closed within 3 s of connecting."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        server = node.node.clients
+        client_connections = node.node.clients
         before = time.monotonic()
-        server.listener._failing_since = before - 1.0  # accept has failed for a second
+        client_connections.listener._failing_since = before - 1.0  # accept calls have failed for 1 s
         await node.connect()
-        while not server.idle:
+        while not client_connections.idle:
             await asyncio.sleep(0)
-        (since,) = server.idle.values()
+        (since,) = client_connections.idle.values()
         assert since < before
