--- a/calicomast/net/clients.py
+++ b/calicomast/net/clients.py
@@ -66,7 +66,7 @@
 
 
 class ResponseSlot:
-    """The response to one command, in its place in the order of its connection's responses.
+    """Holds the response to one command, in the order of the commands of its connection.
 
     Attributes:
         connection: the connection that the command came on.
@@ -100,7 +100,8 @@
         waited: the longest time, in seconds, that the connection may have waited to be accepted.
 
     Attributes:
-        unread_seconds: the longest time that the next bytes may have lain unread, for reasons known here.
+        unread_seconds: the longest time, in seconds, that the next bytes may have waited in the
+            socket because accept failed or reading was paused.
         number: identifies the connection in the log.
         previous_state: the state before the current one.
         close_reason: the first reason to leave OPEN.
@@ -174,7 +175,7 @@
                 self.owner.handler.gone(slot)
 
     def check_disconnect(self) -> None:
-        """Detects a disconnect while reading is paused, when the client's FIN lies behind unread bytes."""
+        """Detects a disconnect while reading is paused and the FIN is queued behind unread bytes."""
         if self.peer_has_closed():
             self.handle_disconnect()
             self.transport.abort()
@@ -239,7 +240,7 @@
         slot.reply(response)
 
     def on_idle_timeout(self) -> None:
-        """Closes the connection, or fails its partial command, unless bytes of a command lie unread."""
+        """Closes the connection, or fails its partial command, unless received bytes are still unread."""
         if self.transport.is_closing() or self.has_unread_bytes():
             return
         if self.partial_bytes:
@@ -248,14 +249,14 @@
             self.close_when_done(CloseReason.IDLE)
 
     def expire_partial_command(self, seconds: float) -> None:
-        """Fails a command that has been partial for `seconds`, unless more of it lies in the socket."""
+        """Fails a command that has been partial for `seconds`, unless more bytes wait in the socket."""
         if not self.is_readable or self.transport.is_closing() or self.partial_since >= monotonic() - seconds:
             return
         if not self.has_unread_bytes():
             self.fail(b"-ERR command not finished in time\r\n", CloseReason.PARTIAL_COMMAND)
 
     def read_delay(self) -> float:
-        """Returns the longest time, in seconds, that the bytes read now may have lain unread.
+        """Returns the longest time, in seconds, that the bytes read now may have waited in the socket.
 
         The client's remaining time is shorter by it.
         """
@@ -308,7 +309,7 @@
                 self.try_close()
 
     def try_close(self) -> None:
-        """Closes the connection, unless a response is pending or bytes of a command lie unread."""
+        """Closes the connection, unless a response is pending or received bytes are still unread."""
         if (
             self.transport.is_closing()
             or self.dispatching
@@ -539,7 +540,7 @@
     def loop_lag(self) -> float:
         """Returns by how many seconds the event loop was late just before, or 0.
 
-        Bytes that are read now may have lain unread for as long.
+        Bytes that are read now may have waited in the socket for as long.
         """
         return self.last_poll_lag if monotonic() - self.last_poll_at < self.last_poll_lag else 0.0
 
