--- a/calicomast/net/attempts.py
+++ b/calicomast/net/attempts.py
@@ -13,10 +13,10 @@
 from calicomast import interface as api
 from calicomast.net.clock import Clock
 from calicomast.net.events import EventKind, EventLog
-from calicomast.net.hosts import Attempt
 from calicomast.net.invariants import MONITOR, Invariant
 from calicomast.net.requests import ActiveRequest
-from calicomast.rules import HOLD_UP, AttemptFacts, Verdict, may_write_attempt
+from calicomast.net.server_connections import Attempt
+from calicomast.rules import MAX_PROCESS_PAUSE, AttemptFacts, Verdict, may_write_attempt
 
 PROPAGATED_DEADLINE = re.compile(rb"[\n,]d=([0-9]+)")  # milliseconds, in an encoded command
 MAX_LOGGED_BYTES = 200  # of a command, in the message of a violation
@@ -53,19 +53,19 @@
             AttemptFacts(
                 finished=request.finished,
                 client_gone=not request.finished and request.slot.connection.peer_has_closed(),
-                left=request.deadline - monotonic(),
-                repeat_left=attempt.repeat_until - self._clock(),
-                begun=request.attempts_written,
-                most_attempts=self._limits.max_attempts,
-                others_out=len(request.active_attempts) - (number in request.active_attempts),
-                second_copies=self._limits.second_copies,
-                server_listed=self._listed(attempt.host),
-                start_budget=not (connected_late and attempt.cold)
-                or self._admits_late(self._clock(), request.id, number, attempt.host),
+                remaining_time=request.deadline - monotonic(),
+                retry_window_left=attempt.retry_until - self._clock(),
+                attempts_written=request.attempts_written,
+                max_attempts=self._limits.max_attempts,
+                other_attempts=len(request.active_attempts) - (number in request.active_attempts),
+                hedging_allowed=self._limits.hedging,
+                server_listed=self._listed(attempt.server),
+                within_slow_start_budget=not (connected_late and attempt.slow_start)
+                or self._admits_late(self._clock(), request.id, number, attempt.server),
             )
         )
         if verdict is not Verdict.ALLOWED:
-            ids = {"id": request.id, "attempt": number, "server": attempt.host}
+            ids = {"id": request.id, "attempt": number, "server": attempt.server}
             self._events.log(EventKind.ATTEMPT_NOT_WRITTEN, verdict.value, **ids)
         return verdict
 
@@ -89,7 +89,7 @@
         if violated is not None:
             excerpt = payload[:MAX_LOGGED_BYTES]
             detail = (
-                f"request {request.id} attempt {attempt.tag[1]} server {attempt.host} "
+                f"request {request.id} attempt {attempt.tag[1]} server {attempt.server} "
                 f"remaining {remaining:.3f} {excerpt!r}"
             )
             MONITOR.record_violation(violated, detail)
@@ -99,16 +99,19 @@
     ) -> Invariant | None:
         """Returns the first invariant that the attempt violates, or None."""
         limits, deadline = self._limits, PROPAGATED_DEADLINE.search(payload)
-        if deadline is None or int(deadline[1]) / MILLISECONDS_PER_SECOND > max(remaining, 0.0) + HOLD_UP:
+        if (
+            deadline is None
+            or int(deadline[1]) / MILLISECONDS_PER_SECOND > max(remaining, 0.0) + MAX_PROCESS_PAUSE
+        ):
             return Invariant.DEADLINE_TOLD
         if request.finished:
             return Invariant.ATTEMPT_AFTER_ANSWER
         if request.attempts_written > limits.max_attempts:
             return Invariant.ATTEMPT_LIMIT
-        if len(request.active_attempts) > 1 and not limits.second_copies:
+        if len(request.active_attempts) > 1 and not limits.hedging:
             return Invariant.SECOND_ATTEMPT
-        if attempt.repeat_until < math.inf and self._clock() > attempt.repeat_until + HOLD_UP:
+        if attempt.retry_until < math.inf and self._clock() > attempt.retry_until + MAX_PROCESS_PAUSE:
             return Invariant.REPEAT_WINDOW
-        if not self._listed(attempt.host):
+        if not self._listed(attempt.server):
             return Invariant.SERVER_GONE
         return None
--- a/calicomast/net/clients.py
+++ b/calicomast/net/clients.py
@@ -172,7 +172,7 @@
         pending, self.pending = self.pending, deque()
         for slot in pending:
             if slot.response is None:
-                self.owner.handler.gone(slot)
+                self.owner.handler.handle_client_gone(slot)
 
     def check_disconnect(self) -> None:
         """Detects a disconnect while reading is paused and the FIN is queued behind unread bytes."""
@@ -205,7 +205,7 @@
                 self.pending.append(slot)
                 self.owner.idle.pop(self, None)
                 partial_is_new = True
-                self.owner.handler.command(slot, command)
+                self.owner.handler.handle_command(slot, command)
         except FramingError:
             malformed = True
         self.dispatching = False
@@ -234,7 +234,7 @@
         for slot in list(self.pending):
             if slot.response is None:
                 slot.response = FAILED_RESPONSE
-                self.owner.handler.gone(slot)
+                self.owner.handler.handle_client_gone(slot)
         slot = ResponseSlot(self)
         self.pending.append(slot)
         slot.reply(response)
@@ -318,10 +318,10 @@
             return  # commands that were read are answered first
         broken = self.state is ClientConnectionState.BROKEN
         verdict = may_close_connection(
-            owed=any(slot.response is None for slot in self.pending),
-            half_command=self.partial_bytes > 0,
-            unread=not broken and not self.partial_bytes and self.has_unread_bytes(),
-            broken=broken,
+            response_pending=any(slot.response is None for slot in self.pending),
+            partial_command=self.partial_bytes > 0,
+            unread_input=not broken and not self.partial_bytes and self.has_unread_bytes(),
+            framing_lost=broken,
         )
         if verdict is not Verdict.ALLOWED:
             # Commands that have arrived are answered first; the sweep tries again after the idle timeout.
@@ -369,8 +369,8 @@
     """All client connections of a gateway, with their limits and timeouts.
 
     Args:
-        handler: has command(slot, command), called for each command, and gone(slot), called for a pending
-            command whose client has disconnected.
+        handler: has handle_command(slot, command), called for each command, and handle_client_gone(slot),
+            called for each pending command of a client that has disconnected.
         max_connections: limit of connections.
         max_partial_bytes: limit of bytes of partial commands on all connections together.
         events: counts and logs closed connections.
--- a/calicomast/net/requests.py
+++ b/calicomast/net/requests.py
@@ -8,9 +8,9 @@
 from calicomast import interface as api
 from calicomast.net.clients import ResponseSlot
 from calicomast.net.framing import MAX_BODY_BYTES
-from calicomast.net.hosts import Attempt
 from calicomast.net.lifecycle import RequestState, transition
-from calicomast.rules import time_told
+from calicomast.net.server_connections import Attempt
+from calicomast.rules import remaining_time_ms
 
 MAX_REMAINING_TIME = 3600.0  # seconds; a client that claims to wait longer is in error
 READ, WRITE = b"API.READ", b"API.WRITE"
@@ -76,7 +76,7 @@
         """
         terms = self.command[3]
         start, end = locate_deadline(terms)
-        rewritten = b"%s%d%s" % (terms[:start], time_told(remaining), terms[end:])
+        rewritten = b"%s%d%s" % (terms[:start], remaining_time_ms(remaining), terms[end:])
         parts = [*self.command[:3], rewritten, *self.command[4:]]
         return b"*%d\r\n%s" % (len(parts), b"".join([encode_bulk_string(part) for part in parts]))
 
@@ -152,7 +152,7 @@
         raise BadRequest("class does not go with this command")
     gateways = settings.gateways
     if not (
-        0 < units <= settings.most_units
+        0 < units <= settings.max_request_units
         and 1 <= spread <= gateways
         and first < gateways
         and remaining <= MAX_REMAINING_TIME
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -6,7 +6,17 @@
 import time
 
 import pytest
-from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, terms, time_told
+from netkit import (
+    CLIENT_REPLY,
+    SERVER_REPLY,
+    GatewayHarness,
+    StubServer,
+    command,
+    command_fields,
+    on_loop,
+    propagated_deadline_ms,
+    read_reply,
+)
 
 from calicomast.net import clients, gateway
 
@@ -19,47 +29,49 @@
         b"*-1\r\n",
         b":5\r\n",
         b"*2\r\n$8\r\nAPI.READ\r\n:0\r\n",
-        command(terms=terms(d=None)),
-        command(terms=terms(d="soon")),
-        command(terms=terms(d="-1")),
-        command(terms=terms(c="none")),
-        command(terms=terms(t="none")),
-        command(terms=terms(units="nan")),
-        command(terms=terms(spread="0")),
-        command(terms=terms(c="note")),
-        command(terms=b"\xff\xfe"),
-        command(terms=terms(c=None)),
-        command(customer=b"xyz"),
+        command(fields=command_fields(d=None)),
+        command(fields=command_fields(d="soon")),
+        command(fields=command_fields(d="-1")),
+        command(fields=command_fields(c="none")),
+        command(fields=command_fields(t="none")),
+        command(fields=command_fields(units="nan")),
+        command(fields=command_fields(spread="0")),
+        command(fields=command_fields(c="note")),
+        command(fields=b"\xff\xfe"),
+        command(fields=command_fields(c=None)),
+        command(tenant=b"xyz"),
         command(id=b""),
         command(body=b"BODY"),
-        command(terms=terms(d="1_0")),
-        command(terms=terms(d="+10")),
-        command(terms=terms(d=" 10")),
-        command(terms=terms(units="0")),
-        command(terms=terms(units="2")),
-        command(terms=terms(units="1_0")),
-        command(terms=terms(spread="2")),
-        command(terms=terms(first="1")),
-        command(terms=terms(first="-1")),
-        command(customer=b"0x000000b4d65521"),
-        command(customer=b"ffffffffb4d65521"),
+        command(fields=command_fields(d="1_0")),
+        command(fields=command_fields(d="+10")),
+        command(fields=command_fields(d=" 10")),
+        command(fields=command_fields(units="0")),
+        command(fields=command_fields(units="2")),
+        command(fields=command_fields(units="1_0")),
+        command(fields=command_fields(spread="2")),
+        command(fields=command_fields(first="1")),
+        command(fields=command_fields(first="-1")),
+        command(tenant=b"0x000000b4d65521"),
+        command(tenant=b"ffffffffb4d65521"),
         command(id=b"x" * 65),
-        command(terms=terms() + b",d=2000"),
-        command(terms=terms(d="9" * 400)),
-        command(terms=terms(d="9" * 12)),
-        command(terms=terms(units="1e999")),
-        command(terms=terms(c="write"), verb=b"API.WRITE", body=b"x"),  # a keyed class without a key
-        command(terms=terms(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
+        command(fields=command_fields() + b",d=2000"),
+        command(fields=command_fields(d="9" * 400)),
+        command(fields=command_fields(d="9" * 12)),
+        command(fields=command_fields(units="1e999")),
+        command(
+            fields=command_fields(c="write"), verb=b"API.WRITE", body=b"x"
+        ),  # a keyed class without a key
+        command(fields=command_fields(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
     ],
 )
 @on_loop
 async def test_invalid_command_gets_error_and_connection_stays_usable(bad, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(bad + b"*1\r\n$4\r\nPING\r\n")
         assert (await read_reply(reader)).startswith(b"-ERR")
         assert await read_reply(reader) == b"+PONG\r\n"
-        assert not host.commands
+        assert not server.commands
 
 
 @pytest.mark.parametrize(
@@ -83,50 +95,50 @@
 )
 @on_loop
 async def test_malformed_framing_closes_only_its_own_connection(bad, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(bad)
         assert (await read_reply(reader)).startswith(b"-ERR")
         assert await read_reply(reader) == b""
-        assert await node.ask(command()) == SERVED
+        assert await harness.send_command(command()) == CLIENT_REPLY
 
 
 @on_loop
 async def test_responses_are_sent_in_order_of_commands(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(command(b"slow"))
-        await host.arrived.get()
+        await server.arrived.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n")
-        host.writers[0].write(VALUE)
-        assert await read_reply(reader) == SERVED
+        server.writers[0].write(SERVER_REPLY)
+        assert await read_reply(reader) == CLIENT_REPLY
         assert await read_reply(reader) == b"+PONG\r\n"
 
 
 @on_loop
 async def test_disconnect_cancels_the_attempt(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
-        _, writer = await node.connect()
+    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        _, writer = await harness.connect()
         writer.write(command())
-        await host.arrived.get()
+        await server.arrived.get()
         writer.close()
-        assert await host.arrived.get() is None  # the connection to the server was closed
-        assert not node.node.works
+        assert await server.arrived.get() is None  # the connection to the server was closed
+        assert not harness.service.active_requests
 
 
 @on_loop
 async def test_commands_received_while_draining_are_served(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(command(b"first"))
-        await host.arrived.get()
-        node.node.clients.drain()
+        await server.arrived.get()
+        harness.service.clients.drain()
         writer.write(command(b"second"))
-        while (await host.arrived.get())[2] != b"second":
+        while (await server.arrived.get())[2] != b"second":
             pass
-        for out in host.writers:
-            out.write(VALUE)
-        assert [await read_reply(reader) for _ in range(3)] == [SERVED, SERVED, b""]
+        for out in server.writers:
+            out.write(SERVER_REPLY)
+        assert [await read_reply(reader) for _ in range(3)] == [CLIENT_REPLY, CLIENT_REPLY, b""]
 
 
 @pytest.mark.parametrize(
@@ -135,94 +147,96 @@
 @on_loop
 async def test_connection_without_request_is_closed_after_idle_timeout(sent, expected, tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(sent)
         assert (await read_reply(reader)).startswith(expected)
         assert await reader.read() == b""
-        while node.node.clients.connections:
+        while harness.service.clients.connections:
             await asyncio.sleep(0.01)
         assert not (
-            node.node.clients.idle or node.node.clients.awaiting_close or node.node.clients.partial_bytes
+            harness.service.clients.idle
+            or harness.service.clients.awaiting_close
+            or harness.service.clients.partial_bytes
         )
 
 
 @on_loop
 async def test_connection_with_pending_request_is_not_closed_as_idle(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
-        idle, _ = await node.connect()
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
+        idle, _ = await harness.connect()
         writer.write(command())
-        await host.arrived.get()
+        await server.arrived.get()
         assert await idle.read() == b""  # closed after its idle timeout
-        host.writers[0].write(VALUE)
-        assert await read_reply(reader) == SERVED
+        server.writers[0].write(SERVER_REPLY)
+        assert await read_reply(reader) == CLIENT_REPLY
 
 
 @on_loop
 async def test_malformed_framing_fails_pending_requests_at_once(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(command())
-        await host.arrived.get()
+        await server.arrived.get()
         writer.write(b"nonsense" + b"x" * 100_000)
         assert await read_reply(reader) == b"-ERR failed\r\n"  # though the server sends no response
         assert (await read_reply(reader)).startswith(b"-ERR protocol")
         assert await reader.read() == b""  # EOF, not a reset, though input was unread
-        assert await host.arrived.get() is None and not node.node.works
+        assert await server.arrived.get() is None and not harness.service.active_requests
 
 
 @on_loop
 async def test_client_that_reads_no_responses_is_dropped(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT", 0.1)
-    async with StubHost(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
-        async with Node(host, path=tmp_path) as node:
-            _, writer = await node.connect()
+    async with StubServer(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as server:
+        async with GatewayHarness(server, path=tmp_path) as harness:
+            _, writer = await harness.connect()
             writer.transport.pause_reading()
             with contextlib.suppress(ConnectionError):
                 for n in range(400):
                     writer.write(command(b"r%d" % n))
                     await writer.drain()
-            while node.node.clients.connections:
+            while harness.service.clients.connections:
                 await asyncio.sleep(0.01)
-            assert not (node.node.works or node.node.held)
+            assert not (harness.service.active_requests or harness.service.held_body_bytes)
 
 
 @on_loop
 async def test_connection_limit_evicts_longest_idle_or_rejects_new_connection(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        node.node.clients.max_connections = 2
-        node.node.module.fleet.limit = 100.0
-        first, _ = await node.connect()
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        harness.service.clients.max_connections = 2
+        harness.service.policy.balancer.server_attempt_limit = 100.0
+        first, _ = await harness.connect()
         busy = []
         for n in range(2):
-            reader, writer = await node.connect()
+            reader, writer = await harness.connect()
             writer.write(command(b"r%d" % n))
-            await host.arrived.get()
+            await server.arrived.get()
             busy.append(reader)
         assert await first.read() == b""
-        last, _ = await node.connect()
+        last, _ = await harness.connect()
         assert (await read_reply(last)).startswith(b"-ERR too many") and await last.read() == b""
-        for writer in host.writers:
-            writer.write(VALUE)
-        assert [await read_reply(reader) for reader in busy] == [SERVED, SERVED]
+        for writer in server.writers:
+            writer.write(SERVER_REPLY)
+        assert [await read_reply(reader) for reader in busy] == [CLIENT_REPLY, CLIENT_REPLY]
 
 
 LONG_RESPONSE = b"$60000\r\n" + b"v" * 60000 + b"\r\n"
 
 
-async def connect_with_unread_responses(node, count=10):
+async def connect_with_unread_responses(harness, count=10):
     """Connects a client that sends `count` requests and reads no response.
 
     Returns the client's socket and the gateway's connection of it.
     """
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    client.connect(("127.0.0.1", node.port))
+    client.connect(("127.0.0.1", harness.port))
     client.setblocking(False)
-    before = set(node.node.clients.connections)
-    while not (added := node.node.clients.connections - before):
+    before = set(harness.service.clients.connections)
+    while not (added := harness.service.clients.connections - before):
         await asyncio.sleep(0)
     (connection,) = added
     connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -233,35 +247,35 @@
         def handle(self, now, event):
             return []
 
-    module, node.node.module = node.node.module, SilentPolicy()
+    policy, harness.service.policy = harness.service.policy, SilentPolicy()
     client.send(b"".join(command(b"u%d" % n) for n in range(count)))
     while len(connection.pending) < count:
         await asyncio.sleep(0)
-    node.node.module = module
-    for request in list(node.node.works.values()):
-        node.node.finish(request, LONG_RESPONSE)
+    harness.service.policy = policy
+    for request in list(harness.service.active_requests.values()):
+        harness.service.finish_request(request, LONG_RESPONSE)
     assert connection.transport.get_write_buffer_size()
     return client, connection
 
 
 @on_loop
 async def test_connection_with_unread_responses_is_not_evicted(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        client, connection = await connect_with_unread_responses(node)
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client, connection = await connect_with_unread_responses(harness)
         connection.close_when_done(clients.CloseReason.IDLE)
-        assert connection in node.node.clients.awaiting_close
-        node.node.clients.max_connections = 1
-        reader, _ = await node.connect()
+        assert connection in harness.service.clients.awaiting_close
+        harness.service.clients.max_connections = 1
+        reader, _ = await harness.connect()
         assert (await read_reply(reader)).startswith(b"-ERR too many")
         assert await read_to_end(client) == LONG_RESPONSE * 10
 
 
 @on_loop
 async def test_each_eviction_drops_a_different_connection(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        client_connections = node.node.clients
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client_connections = harness.service.clients
         for _ in range(4):
-            await node.connect()
+            await harness.connect()
         while len(client_connections.connections) < 4:
             await asyncio.sleep(0)
         for client in list(client_connections.connections)[:2]:
@@ -277,26 +291,27 @@
 
 @on_loop
 async def test_rejected_connection_gets_error_though_it_has_sent_commands(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        node.node.clients.max_connections = 1
-        busy, writer = await node.connect()
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        harness.service.clients.max_connections = 1
+        busy, writer = await harness.connect()
         writer.write(command(b"first"))
-        await host.arrived.get()
+        await server.arrived.get()
         rejected = [
-            connect_and_send(node, command(b"r%d" % n) * 3) for n in range(clients.MAX_REJECTED_CONNECTIONS)
+            connect_and_send(harness, command(b"r%d" % n) * 3)
+            for n in range(clients.MAX_REJECTED_CONNECTIONS)
         ]
         for client in rejected:
             client.shutdown(socket.SHUT_WR)
             assert (await read_to_end(client)).startswith(b"-ERR too many")  # EOF, not a reset
-        while len(node.node.clients.connections) > 1:
+        while len(harness.service.clients.connections) > 1:
             await asyncio.sleep(0)
         for _ in range(2 * clients.MAX_REJECTED_CONNECTIONS):
-            await node.connect()
+            await harness.connect()
         await asyncio.sleep(0)
         # A few may still be in the course of being accepted or closed.
-        assert len(node.node.clients.connections) <= clients.MAX_REJECTED_CONNECTIONS + 3
-        host.writers[0].write(VALUE)
-        assert await read_reply(busy) == SERVED and len(host.commands) == 1
+        assert len(harness.service.clients.connections) <= clients.MAX_REJECTED_CONNECTIONS + 3
+        server.writers[0].write(SERVER_REPLY)
+        assert await read_reply(busy) == CLIENT_REPLY and len(server.commands) == 1
 
 
 @pytest.mark.parametrize("closing", [False, True])
@@ -306,37 +321,37 @@
 ):
     for name in ("CLOSE_TIMEOUT", "WRITE_STALL_TIMEOUT"):
         monkeypatch.setattr(clients, name, 0.0)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        client, connection = await connect_with_unread_responses(node)
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client, connection = await connect_with_unread_responses(harness)
         if closing:
             connection.close_when_done(clients.CloseReason.IDLE)
         now = clients.monotonic() + 1.0
         monkeypatch.setattr(clients, "monotonic", lambda: now)
-        node.node.clients.sweep()
-        assert connection not in node.node.clients.dropped
-        now += 2.0 + gateway.STILL  # past all deadlines
-        node.node.clients.sweep()
-        assert connection in node.node.clients.dropped
+        harness.service.clients.sweep()
+        assert connection not in harness.service.clients.dropped
+        now += 2.0 + gateway.LATE_ANSWER_GRACE  # past all deadlines
+        harness.service.clients.sweep()
+        assert connection in harness.service.clients.dropped
         client.close()
 
 
 @on_loop
 async def test_total_size_of_partial_commands_is_limited(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.clients.max_partial_bytes = 100_000
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        harness.service.clients.max_partial_bytes = 100_000
         readers = []
         for _ in range(3):
-            reader, writer = await node.connect()
+            reader, writer = await harness.connect()
             writer.write(b"*5\r\n$60000\r\n" + b"x" * 40_000)
             readers.append(asyncio.create_task(read_reply(reader)))
         done, _ = await asyncio.wait(readers, return_when=asyncio.FIRST_COMPLETED)
         assert [task.result() for task in done] == [b"-ERR too much in work\r\n"]
-        assert await node.ask(command()) == SERVED
+        assert await harness.send_command(command()) == CLIENT_REPLY
 
 
 @on_loop
 async def test_disconnect_is_detected_while_reading_is_paused(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
 
         class SilentPolicy:
             """Decides nothing."""
@@ -344,53 +359,55 @@
             def handle(self, now, event):
                 return []
 
-        node.node.module = SilentPolicy()
-        _, writer = await node.connect()
+        harness.service.policy = SilentPolicy()
+        _, writer = await harness.connect()
         for n in range(clients.MAX_PENDING_COMMANDS):
-            writer.write(command(b"r%d" % n, terms=terms(d="600000")))
+            writer.write(command(b"r%d" % n, fields=command_fields(d="600000")))
         while (
-            not (connections := list(node.node.clients.connections))
+            not (connections := list(harness.service.clients.connections))
             or len(connections[0].pending) < clients.MAX_PENDING_COMMANDS
         ):
             await asyncio.sleep(0)
         assert connections[0].reads_paused
         writer.write(command(b"unread"))
         writer.close()
-        while node.node.works or node.node.clients.connections:  # long before their deadlines
+        while (
+            harness.service.active_requests or harness.service.clients.connections
+        ):  # long before their deadlines
             await asyncio.sleep(0)
-        assert not node.node.clients.reading_paused
+        assert not harness.service.clients.reading_paused
 
 
 @on_loop
 async def test_disconnect_with_unread_responses_ends_pending_requests(tmp_path, monkeypatch):
     """The written responses can't be flushed, so connection_lost() is not called for a while yet."""
     monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT", 600.0)
-    async with StubHost(b"*3\r\n$20000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 20000)) as host:
-        async with Node(host, path=tmp_path) as node:
-            _, writer = await node.connect()
+    async with StubServer(b"*3\r\n$20000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 20000)) as server:
+        async with GatewayHarness(server, path=tmp_path) as harness:
+            _, writer = await harness.connect()
             writer.transport.pause_reading()
             served, client = 0, None
             while client is None or not client.transport.get_write_buffer_size():
                 writer.write(command(b"r%d" % served))
                 served += 1
-                while len(host.commands) < served or client is None or client.pending:
+                while len(server.commands) < served or client is None or client.pending:
                     await asyncio.sleep(0)
-                    (client,) = node.node.clients.connections
+                    (client,) = harness.service.clients.connections
                 await asyncio.sleep(0)
-            host.answer = None
-            writer.write(command(b"waits", terms=terms(d="600000")))
+            server.answer = None
+            writer.write(command(b"waits", fields=command_fields(d="600000")))
             while not client.pending:
                 await asyncio.sleep(0)
             assert not client.reads_paused  # so the EOF is read
             writer.write_eof()  # a half-close, which a full close looks like at first
-            while node.node.works:
+            while harness.service.active_requests:
                 await asyncio.sleep(0)
             assert client.transport.get_write_buffer_size()
 
 
-def connect_and_send(node, text):
+def connect_and_send(harness, text):
     """Connects a client and sends `text` before the event loop runs again; returns its socket."""
-    client = socket.create_connection(("127.0.0.1", node.port))
+    client = socket.create_connection(("127.0.0.1", harness.port))
     client.sendall(text)
     client.setblocking(False)
     return client
@@ -407,70 +424,72 @@
 
 @on_loop
 async def test_command_unread_when_draining_begins_is_served(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        client = connect_and_send(node, b"")
-        while not node.node.clients.connections:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client = connect_and_send(harness, b"")
+        while not harness.service.clients.connections:
             await asyncio.sleep(0)
         client.send(command())  # the gateway has not read it yet
-        node.node.clients.drain()
-        assert await read_to_end(client) == SERVED
+        harness.service.clients.drain()
+        assert await read_to_end(client) == CLIENT_REPLY
 
 
 @on_loop
 async def test_commands_read_together_before_close_are_all_answered(tmp_path):
     """The first is answered at once, so no command is pending while the others are not dispatched yet."""
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        client = connect_and_send(node, b"")
-        while not node.node.clients.connections:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client = connect_and_send(harness, b"")
+        while not harness.service.clients.connections:
             await asyncio.sleep(0)
-        client.send(b"*1\r\n$4\r\nPING\r\n" + command(b"refused", terms=terms(d="1")) + command())
-        node.node.clients.drain()
-        assert await read_to_end(client) == b"+PONG\r\n-BUSY\r\n" + SERVED
+        client.send(b"*1\r\n$4\r\nPING\r\n" + command(b"refused", fields=command_fields(d="1")) + command())
+        harness.service.clients.drain()
+        assert await read_to_end(client) == b"+PONG\r\n-BUSY\r\n" + CLIENT_REPLY
 
 
 @on_loop
 async def test_command_unread_at_last_response_is_served_before_close(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        client = connect_and_send(node, command(b"first"))
-        await host.arrived.get()
-        node.node.clients.drain()
-        (request,) = node.node.works.values()
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        client = connect_and_send(harness, command(b"first"))
+        await server.arrived.get()
+        harness.service.clients.drain()
+        (request,) = harness.service.active_requests.values()
         client.send(command(b"second"))  # the gateway has not read it yet
-        host.answer = VALUE
-        node.node.finish(request, SERVED)
-        assert await read_to_end(client) == SERVED * 2
+        server.answer = SERVER_REPLY
+        harness.service.finish_request(request, CLIENT_REPLY)
+        assert await read_to_end(client) == CLIENT_REPLY * 2
 
 
 @on_loop
 async def test_connections_in_accept_queue_are_served_at_shutdown(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
         ping, pong = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
-        waiting = [connect_and_send(node, ping) for _ in range(60)] + [
-            connect_and_send(node, command(b"r%d" % n)) for n in range(8)
+        waiting = [connect_and_send(harness, ping) for _ in range(60)] + [
+            connect_and_send(harness, command(b"r%d" % n)) for n in range(8)
         ]
-        assert not node.node.clients.connections
-        await node.node.clients.stop_accepting()
-        node.node.clients.drain()
-        assert [await read_to_end(client) for client in waiting] == [pong] * 60 + [SERVED] * 8
+        assert not harness.service.clients.connections
+        await harness.service.clients.stop_accepting()
+        harness.service.clients.drain()
+        assert [await read_to_end(client) for client in waiting] == [pong] * 60 + [CLIENT_REPLY] * 8
         with pytest.raises(ConnectionError):
-            connect_and_send(node, b"")
+            connect_and_send(harness, b"")
 
 
 @on_loop
 async def test_partial_command_at_idle_timeout_gets_time_to_complete(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        text, (reader, writer) = command(), await node.connect()
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        text, (reader, writer) = command(), await harness.connect()
         writer.write(text[:9])
-        while not (connections := list(node.node.clients.connections)) or not connections[0].partial_bytes:
+        while (
+            not (connections := list(harness.service.clients.connections)) or not connections[0].partial_bytes
+        ):
             await asyncio.sleep(0)
-        (client,), client_connections = connections, node.node.clients
+        (client,), client_connections = connections, harness.service.clients
         client_connections.idle[client] -= (
             clients.IDLE_TIMEOUT
         )  # as if the first part had come at the idle timeout
         client_connections.sweep()
         client.partial_since -= clients.MIN_PARTIAL_COMMAND_TIME
         writer.write(text[9:] + text[:9])  # the next command's time counts from its own first part
-        assert await read_reply(reader) == SERVED
+        assert await read_reply(reader) == CLIENT_REPLY
         while not client.partial_bytes or client not in client_connections.idle:
             await asyncio.sleep(0)
         client_connections.idle[client] -= clients.IDLE_TIMEOUT
@@ -484,7 +503,7 @@
 
 @on_loop
 async def test_command_sent_while_reading_is_paused_is_served_before_close(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
 
         class SilentPolicy:
             """Decides nothing."""
@@ -492,33 +511,35 @@
             def handle(self, now, event):
                 return []
 
-        module, node.node.module = node.node.module, SilentPolicy()
-        reader, writer = await node.connect()
+        policy, harness.service.policy = harness.service.policy, SilentPolicy()
+        reader, writer = await harness.connect()
         for n in range(clients.MAX_PENDING_COMMANDS):
             writer.write(command(b"r%d" % n))
-        while not node.node.clients.reading_paused:
+        while not harness.service.clients.reading_paused:
             await asyncio.sleep(0)
-        (client,) = node.node.clients.reading_paused
+        (client,) = harness.service.clients.reading_paused
         writer.write(command(b"last"))
         while not client.has_unread_bytes():
             await asyncio.sleep(0)
-        node.node.module = module
-        node.node.clients.drain()
-        for request in list(node.node.works.values())[::-1]:  # so that the first releases the others
-            node.node.finish(request, SERVED)
+        harness.service.policy = policy
+        harness.service.clients.drain()
+        for request in list(harness.service.active_requests.values())[
+            ::-1
+        ]:  # so that the first releases the others
+            harness.service.finish_request(request, CLIENT_REPLY)
         assert [await read_reply(reader) for _ in range(clients.MAX_PENDING_COMMANDS + 2)] == (
-            [SERVED] * (clients.MAX_PENDING_COMMANDS + 1) + [b""]
+            [CLIENT_REPLY] * (clients.MAX_PENDING_COMMANDS + 1) + [b""]
         )
-        assert [c[2] for c in host.commands] == [b"last"]
+        assert [c[2] for c in server.commands] == [b"last"]
 
 
 @on_loop
 async def test_partial_command_times_out_while_another_is_pending(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
-        writer.write(command(b"r1", terms=terms(d="3600000")))
-        await host.arrived.get()
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
+        writer.write(command(b"r1", fields=command_fields(d="3600000")))
+        await server.arrived.get()
         writer.write(command(b"r2")[:9])
         assert await read_reply(reader) == b"-ERR failed\r\n"
         assert await read_reply(reader) == b"-ERR command not finished in time\r\n"
@@ -527,7 +548,7 @@
 
 @on_loop
 async def test_time_unread_while_reading_was_paused_is_subtracted_from_deadline(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
 
         class SilentPolicy:
             """Decides nothing."""
@@ -535,31 +556,31 @@
             def handle(self, now, event):
                 return []
 
-        module, node.node.module = node.node.module, SilentPolicy()
-        reader, writer = await node.connect()
+        policy, harness.service.policy = harness.service.policy, SilentPolicy()
+        reader, writer = await harness.connect()
         for n in range(clients.MAX_PENDING_COMMANDS):
             writer.write(command(b"r%d" % n))
-        while not node.node.clients.reading_paused:
+        while not harness.service.clients.reading_paused:
             await asyncio.sleep(0)
         writer.write(command(b"last"))
         asked = time.monotonic()
         await asyncio.sleep(0.4)
         waited = time.monotonic() - asked  # the command has not been read before now
-        node.node.module = module
-        for request in list(node.node.works.values()):
-            node.node.finish(request, SERVED)
-        assert [await read_reply(reader) for _ in range(clients.MAX_PENDING_COMMANDS + 1)][-1] == SERVED
-        assert time_told(host) <= 3000 - 1000 * waited + 150
+        harness.service.policy = policy
+        for request in list(harness.service.active_requests.values()):
+            harness.service.finish_request(request, CLIENT_REPLY)
+        assert [await read_reply(reader) for _ in range(clients.MAX_PENDING_COMMANDS + 1)][-1] == CLIENT_REPLY
+        assert propagated_deadline_ms(server) <= 3000 - 1000 * waited + 150
 
 
 @on_loop
 async def test_idle_timeout_counts_from_connect_when_accept_has_failed(tmp_path):
     """A client that sends nothing must be closed within 3 s of connecting."""
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        client_connections = node.node.clients
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client_connections = harness.service.clients
         before = time.monotonic()
         client_connections.listener._failing_since = before - 1.0  # accept calls have failed for 1 s
-        await node.connect()
+        await harness.connect()
         while not client_connections.idle:
             await asyncio.sleep(0)
         (since,) = client_connections.idle.values()
