--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -1,4 +1,4 @@
-"""Clients: bad input, the order of answers, those that leave."""
+"""Client connections: invalid input, order of responses, timeouts, limits, disconnects and shutdown."""
 
 import asyncio
 import contextlib
@@ -58,18 +58,20 @@
         command(fields=command_fields(d="9" * 400)),
         command(fields=command_fields(d="9" * 12)),
         command(fields=command_fields(units="1e999")),
-        command(fields=command_fields(c="write"), verb=b"API.WRITE", body=b"x"),  # keyed, without its key
+        command(
+            fields=command_fields(c="write"), verb=b"API.WRITE", body=b"x"
+        ),  # a keyed class without a key
         command(fields=command_fields(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
     ],
 )
 @on_loop
-async def test_bad_commands_are_answered_and_the_connection_goes_on(bad, tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+async def test_invalid_command_gets_error_and_connection_stays_usable(bad, tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(bad + b"*1\r\n$4\r\nPING\r\n")
         assert (await read_reply(reader)).startswith(b"-ERR")
         assert await read_reply(reader) == b"+PONG\r\n"
-        assert not host.commands
+        assert not server.commands
 
 
 @pytest.mark.parametrize(
@@ -92,425 +94,452 @@
     ],
 )
 @on_loop
-async def test_lost_framing_ends_only_its_own_connection(bad, tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+async def test_malformed_framing_closes_only_its_own_connection(bad, tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(bad)
         assert (await read_reply(reader)).startswith(b"-ERR")
         assert await read_reply(reader) == b""
-        assert await node.send_command(command()) == CLIENT_REPLY
+        assert await harness.send_command(command()) == CLIENT_REPLY
 
 
 @on_loop
-async def test_answers_come_in_the_order_of_the_commands(tmp_path):
-    async with StubServer(answer=None) as host, GatewayHarness(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+async def test_responses_are_sent_in_order_of_commands(tmp_path):
+    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(command(b"slow"))
-        await host.arrived.get()
+        await server.arrived.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n")
-        host.writers[0].write(SERVER_REPLY)
+        server.writers[0].write(SERVER_REPLY)
         assert await read_reply(reader) == CLIENT_REPLY
         assert await read_reply(reader) == b"+PONG\r\n"
 
 
 @on_loop
-async def test_a_client_that_left_has_its_attempt_called_off(tmp_path):
-    async with StubServer(answer=None) as host, GatewayHarness(host, path=tmp_path) as node:
-        _, writer = await node.connect()
+async def test_disconnect_cancels_the_attempt(tmp_path):
+    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        _, writer = await harness.connect()
         writer.write(command())
-        await host.arrived.get()
+        await server.arrived.get()
         writer.close()
-        assert await host.arrived.get() is None  # the connection to the host ended
-        assert not node.service.active_requests
+        assert await server.arrived.get() is None  # the connection to the server was closed
+        assert not harness.service.active_requests
 
 
 @on_loop
-async def test_what_comes_on_a_connection_that_is_to_close_is_served(tmp_path):
-    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+async def test_commands_received_while_draining_are_served(tmp_path):
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(command(b"first"))
-        await host.arrived.get()
-        node.service.clients.drain()
+        await server.arrived.get()
+        harness.service.clients.drain()
         writer.write(command(b"second"))
-        while (await host.arrived.get())[2] != b"second":
+        while (await server.arrived.get())[2] != b"second":
             pass
-        for out in host.writers:
+        for out in server.writers:
             out.write(SERVER_REPLY)
         assert [await read_reply(reader) for _ in range(3)] == [CLIENT_REPLY, CLIENT_REPLY, b""]
 
 
 @pytest.mark.parametrize(
-    "sent, told", [(b"", b""), (b"*4\r\n$8\r\nAPI.R", b"-ERR"), (b"*1\r\n$4\r\nPING\r\n", b"+PONG")]
+    "sent, expected", [(b"", b""), (b"*4\r\n$8\r\nAPI.R", b"-ERR"), (b"*1\r\n$4\r\nPING\r\n", b"+PONG")]
 )
 @on_loop
-async def test_a_connection_without_a_request_is_closed_in_time(sent, told, tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "IDLE", 0.1)
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+async def test_connection_without_request_is_closed_after_idle_timeout(sent, expected, tmp_path, monkeypatch):
+    monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(sent)
-        assert (await read_reply(reader)).startswith(told)
+        assert (await read_reply(reader)).startswith(expected)
         assert await reader.read() == b""
-        while node.service.clients.connections:
+        while harness.service.clients.connections:
             await asyncio.sleep(0.01)
-        assert not (node.service.clients.idle or node.service.clients.ending or node.service.clients.partial)
+        assert not (
+            harness.service.clients.idle
+            or harness.service.clients.awaiting_close
+            or harness.service.clients.partial_bytes
+        )
 
 
 @on_loop
-async def test_a_connection_with_a_request_in_work_is_not_idle(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "IDLE", 0.1)
-    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
-        idle, _ = await node.connect()
+async def test_connection_with_pending_request_is_not_closed_as_idle(tmp_path, monkeypatch):
+    monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
+        idle, _ = await harness.connect()
         writer.write(command())
-        await host.arrived.get()
-        assert await idle.read() == b""  # this one went, some sweeps later
-        host.writers[0].write(SERVER_REPLY)
+        await server.arrived.get()
+        assert await idle.read() == b""  # closed after its idle timeout
+        server.writers[0].write(SERVER_REPLY)
         assert await read_reply(reader) == CLIENT_REPLY
 
 
 @on_loop
-async def test_lost_framing_does_not_wait_for_what_is_in_work(tmp_path):
-    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+async def test_malformed_framing_fails_pending_requests_at_once(tmp_path):
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(command())
-        await host.arrived.get()
+        await server.arrived.get()
         writer.write(b"nonsense" + b"x" * 100_000)
-        assert await read_reply(reader) == b"-ERR failed\r\n"  # its one answer, though the host is silent
+        assert await read_reply(reader) == b"-ERR failed\r\n"  # though the server sends no response
         assert (await read_reply(reader)).startswith(b"-ERR protocol")
-        assert await reader.read() == b""  # an end, not a reset, though there was more to read
-        assert await host.arrived.get() is None and not node.service.active_requests
+        assert await reader.read() == b""  # EOF, not a reset, though input was unread
+        assert await server.arrived.get() is None and not harness.service.active_requests
 
 
 @on_loop
-async def test_who_takes_no_answers_is_let_go(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "STUCK", 0.1)
-    async with StubServer(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
-        async with GatewayHarness(host, path=tmp_path) as node:
-            _, writer = await node.connect()
+async def test_client_that_reads_no_responses_is_dropped(tmp_path, monkeypatch):
+    monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT", 0.1)
+    async with StubServer(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as server:
+        async with GatewayHarness(server, path=tmp_path) as harness:
+            _, writer = await harness.connect()
             writer.transport.pause_reading()
             with contextlib.suppress(ConnectionError):
                 for n in range(400):
                     writer.write(command(b"r%d" % n))
                     await writer.drain()
-            while node.service.clients.connections:
+            while harness.service.clients.connections:
                 await asyncio.sleep(0.01)
-            assert not (node.service.active_requests or node.service.held_body_bytes)
+            assert not (harness.service.active_requests or harness.service.held_body_bytes)
 
 
 @on_loop
-async def test_at_the_limit_the_longest_idle_goes_and_with_all_busy_the_newcomer(tmp_path):
-    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
-        node.service.clients.max_connections = 2
-        node.service.policy.balancer.server_attempt_limit = 100.0
-        first, _ = await node.connect()
+async def test_connection_limit_evicts_longest_idle_or_rejects_new_connection(tmp_path):
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        harness.service.clients.max_connections = 2
+        harness.service.policy.balancer.server_attempt_limit = 100.0
+        first, _ = await harness.connect()
         busy = []
         for n in range(2):
-            reader, writer = await node.connect()
+            reader, writer = await harness.connect()
             writer.write(command(b"r%d" % n))
-            await host.arrived.get()
+            await server.arrived.get()
             busy.append(reader)
         assert await first.read() == b""
-        last, _ = await node.connect()
+        last, _ = await harness.connect()
         assert (await read_reply(last)).startswith(b"-ERR too many") and await last.read() == b""
-        for writer in host.writers:
+        for writer in server.writers:
             writer.write(SERVER_REPLY)
         assert [await read_reply(reader) for reader in busy] == [CLIENT_REPLY, CLIENT_REPLY]
 
 
-LONG = b"$60000\r\n" + b"v" * 60000 + b"\r\n"
+LONG_RESPONSE = b"$60000\r\n" + b"v" * 60000 + b"\r\n"
+
 
+async def connect_with_unread_responses(harness, count=10):
+    """Connects a client that sends `count` requests and reads no response.
 
-async def untaken(node, count=10):
-    """A client that has asked `count` times and takes no answer yet; its end of the gateway's connection."""
+    Returns the client's socket and the gateway's connection of it.
+    """
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    client.connect(("127.0.0.1", node.port))
+    client.connect(("127.0.0.1", harness.port))
     client.setblocking(False)
-    before = set(node.service.clients.connections)
-    while not (there := node.service.clients.connections - before):
+    before = set(harness.service.clients.connections)
+    while not (added := harness.service.clients.connections - before):
         await asyncio.sleep(0)
-    (served,) = there
-    served.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    (connection,) = added
+    connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+
+    class SilentPolicy:
+        """Decides nothing."""
 
-    class Mute:
         def handle(self, now, event):
             return []
 
-    module, node.service.policy = node.service.policy, Mute()
+    policy, harness.service.policy = harness.service.policy, SilentPolicy()
     client.send(b"".join(command(b"u%d" % n) for n in range(count)))
-    while len(served.pending) < count:
+    while len(connection.pending) < count:
         await asyncio.sleep(0)
-    node.service.policy = module
-    for work in list(node.service.active_requests.values()):
-        node.service.finish_request(work, LONG)
-    assert served.transport.get_write_buffer_size()
-    return client, served
+    harness.service.policy = policy
+    for request in list(harness.service.active_requests.values()):
+        harness.service.finish_request(request, LONG_RESPONSE)
+    assert connection.transport.get_write_buffer_size()
+    return client, connection
 
 
 @on_loop
-async def test_room_is_not_made_at_the_cost_of_an_answer_that_is_not_taken_yet(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        client, served = await untaken(node)
-        served.close_when_done(clients.CloseReason.IDLE)
-        assert served in node.service.clients.ending
-        node.service.clients.max_connections = 1
-        reader, _ = await node.connect()
+async def test_connection_with_unread_responses_is_not_evicted(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client, connection = await connect_with_unread_responses(harness)
+        connection.close_when_done(clients.CloseReason.IDLE)
+        assert connection in harness.service.clients.awaiting_close
+        harness.service.clients.max_connections = 1
+        reader, _ = await harness.connect()
         assert (await read_reply(reader)).startswith(b"-ERR too many")
-        assert await take(client) == LONG * 10
+        assert await read_to_end(client) == LONG_RESPONSE * 10
 
 
 @on_loop
-async def test_each_newcomer_takes_the_place_of_another(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        server = node.service.clients
+async def test_each_eviction_drops_a_different_connection(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client_connections = harness.service.clients
         for _ in range(4):
-            await node.connect()
-        while len(server.connections) < 4:
+            await harness.connect()
+        while len(client_connections.connections) < 4:
             await asyncio.sleep(0)
-        for client in list(server.connections)[:2]:
-            client.fail(b"-ERR\r\n", clients.CloseReason.LOST_FRAMING)  # ends once its client does
-        assert [server.evict_connection() for _ in range(5)] == [True] * 4 + [False]
-        assert server.leaving == server.connections
-        while server.connections:
+        for client in list(client_connections.connections)[:2]:
+            client.fail(b"-ERR\r\n", clients.CloseReason.LOST_FRAMING)  # closes once its client does
+        assert [client_connections.evict_connection() for _ in range(5)] == [True] * 4 + [False]
+        assert client_connections.dropped == client_connections.connections
+        while client_connections.connections:
             await asyncio.sleep(0)
-        assert not (server.leaving or server.ending or server.idle)
+        assert not (
+            client_connections.dropped or client_connections.awaiting_close or client_connections.idle
+        )
 
 
 @on_loop
-async def test_one_that_is_turned_away_hears_of_it_though_it_has_asked(tmp_path):
-    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
-        node.service.clients.max_connections = 1
-        busy, writer = await node.connect()
+async def test_rejected_connection_gets_error_though_it_has_sent_commands(tmp_path):
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        harness.service.clients.max_connections = 1
+        busy, writer = await harness.connect()
         writer.write(command(b"first"))
-        await host.arrived.get()
-        asked = [blocking(node, command(b"r%d" % n) * 3) for n in range(clients.MOST_AWAY)]
-        for client in asked:
+        await server.arrived.get()
+        rejected = [
+            connect_and_send(harness, command(b"r%d" % n) * 3)
+            for n in range(clients.MAX_REJECTED_CONNECTIONS)
+        ]
+        for client in rejected:
             client.shutdown(socket.SHUT_WR)
-            assert (await take(client)).startswith(b"-ERR too many")  # an end, not a reset
-        while len(node.service.clients.connections) > 1:
+            assert (await read_to_end(client)).startswith(b"-ERR too many")  # EOF, not a reset
+        while len(harness.service.clients.connections) > 1:
             await asyncio.sleep(0)
-        for _ in range(2 * clients.MOST_AWAY):
-            await node.connect()
+        for _ in range(2 * clients.MAX_REJECTED_CONNECTIONS):
+            await harness.connect()
         await asyncio.sleep(0)
-        assert len(node.service.clients.connections) <= clients.MOST_AWAY + 3  # a few may be on their way
-        host.writers[0].write(SERVER_REPLY)
-        assert await read_reply(busy) == CLIENT_REPLY and len(host.commands) == 1
+        # A few may still be in the course of being accepted or closed.
+        assert len(harness.service.clients.connections) <= clients.MAX_REJECTED_CONNECTIONS + 3
+        server.writers[0].write(SERVER_REPLY)
+        assert await read_reply(busy) == CLIENT_REPLY and len(server.commands) == 1
 
 
-@pytest.mark.parametrize("ends", [False, True])
+@pytest.mark.parametrize("closing", [False, True])
 @on_loop
-async def test_answers_are_waited_for_while_they_count_and_no_longer(ends, tmp_path, monkeypatch):
-    for name in ("ENDING", "STUCK"):
+async def test_closing_and_stalled_connections_are_kept_until_responses_expire(
+    closing, tmp_path, monkeypatch
+):
+    for name in ("CLOSE_TIMEOUT", "WRITE_STALL_TIMEOUT"):
         monkeypatch.setattr(clients, name, 0.0)
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        client, served = await untaken(node)
-        if ends:
-            served.close_when_done(clients.CloseReason.IDLE)
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client, connection = await connect_with_unread_responses(harness)
+        if closing:
+            connection.close_when_done(clients.CloseReason.IDLE)
         now = clients.monotonic() + 1.0
         monkeypatch.setattr(clients, "monotonic", lambda: now)
-        node.service.clients.sweep()
-        assert served not in node.service.clients.leaving
+        harness.service.clients.sweep()
+        assert connection not in harness.service.clients.dropped
         now += 2.0 + gateway.LATE_ANSWER_GRACE  # past all deadlines
-        node.service.clients.sweep()
-        assert served in node.service.clients.leaving
+        harness.service.clients.sweep()
+        assert connection in harness.service.clients.dropped
         client.close()
 
 
 @on_loop
-async def test_half_commands_together_are_bounded(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        node.service.clients.max_partial_bytes = 100_000
+async def test_total_size_of_partial_commands_is_limited(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        harness.service.clients.max_partial_bytes = 100_000
         readers = []
         for _ in range(3):
-            reader, writer = await node.connect()
+            reader, writer = await harness.connect()
             writer.write(b"*5\r\n$60000\r\n" + b"x" * 40_000)
             readers.append(asyncio.create_task(read_reply(reader)))
         done, _ = await asyncio.wait(readers, return_when=asyncio.FIRST_COMPLETED)
         assert [task.result() for task in done] == [b"-ERR too much in work\r\n"]
-        assert await node.send_command(command()) == CLIENT_REPLY
+        assert await harness.send_command(command()) == CLIENT_REPLY
 
 
 @on_loop
-async def test_a_client_that_sent_much_and_left_is_noticed_though_it_is_not_read(tmp_path):
-    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
+async def test_disconnect_is_detected_while_reading_is_paused(tmp_path):
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+
+        class SilentPolicy:
+            """Decides nothing."""
 
-        class Mute:
             def handle(self, now, event):
                 return []
 
-        node.service.policy = Mute()
-        _, writer = await node.connect()
-        for n in range(clients.MOST_PENDING):
+        harness.service.policy = SilentPolicy()
+        _, writer = await harness.connect()
+        for n in range(clients.MAX_PENDING_COMMANDS):
             writer.write(command(b"r%d" % n, fields=command_fields(d="600000")))
         while (
-            not (there := list(node.service.clients.connections))
-            or len(there[0].pending) < clients.MOST_PENDING
+            not (connections := list(harness.service.clients.connections))
+            or len(connections[0].pending) < clients.MAX_PENDING_COMMANDS
         ):
             await asyncio.sleep(0)
-        assert there[0].reads_paused
+        assert connections[0].reads_paused
         writer.write(command(b"unread"))
         writer.close()
-        # long before any of their deadlines
-        while node.service.active_requests or node.service.clients.connections:
+        while (
+            harness.service.active_requests or harness.service.clients.connections
+        ):  # long before their deadlines
             await asyncio.sleep(0)
-        assert not node.service.clients.unread
+        assert not harness.service.clients.reading_paused
 
 
 @on_loop
-async def test_a_client_that_left_with_answers_not_taken_has_its_requests_ended(tmp_path, monkeypatch):
-    """Its connection cannot be flushed, so it is not lost to the loop for a while yet."""
-    monkeypatch.setattr(clients, "STUCK", 600.0)
-    async with StubServer(b"*3\r\n$20000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 20000)) as host:
-        async with GatewayHarness(host, path=tmp_path) as node:
-            _, writer = await node.connect()
+async def test_disconnect_with_unread_responses_ends_pending_requests(tmp_path, monkeypatch):
+    """The written responses can't be flushed, so connection_lost() is not called for a while yet."""
+    monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT", 600.0)
+    async with StubServer(b"*3\r\n$20000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 20000)) as server:
+        async with GatewayHarness(server, path=tmp_path) as harness:
+            _, writer = await harness.connect()
             writer.transport.pause_reading()
             served, client = 0, None
             while client is None or not client.transport.get_write_buffer_size():
                 writer.write(command(b"r%d" % served))
                 served += 1
-                while len(host.commands) < served or client is None or client.pending:
+                while len(server.commands) < served or client is None or client.pending:
                     await asyncio.sleep(0)
-                    (client,) = node.service.clients.connections
+                    (client,) = harness.service.clients.connections
                 await asyncio.sleep(0)
-            host.answer = None
+            server.answer = None
             writer.write(command(b"waits", fields=command_fields(d="600000")))
             while not client.pending:
                 await asyncio.sleep(0)
-            assert not client.reads_paused  # it is read, and its end is seen
-            writer.write_eof()  # half closed, as the end of one that leaves looks at first
-            while node.service.active_requests:
+            assert not client.reads_paused  # so the EOF is read
+            writer.write_eof()  # a half-close, which a full close looks like at first
+            while harness.service.active_requests:
                 await asyncio.sleep(0)
             assert client.transport.get_write_buffer_size()
 
 
-def blocking(node, text):
-    """A client that has connected and sent `text` before the gateway's loop turns once more."""
-    client = socket.create_connection(("127.0.0.1", node.port))
+def connect_and_send(harness, text):
+    """Connects a client and sends `text` before the event loop runs again; returns its socket."""
+    client = socket.create_connection(("127.0.0.1", harness.port))
     client.sendall(text)
     client.setblocking(False)
     return client
 
 
-async def take(client):
-    """All that a client gets to the end of its connection."""
-    got, loop = b"", asyncio.get_running_loop()
+async def read_to_end(client):
+    """Reads from a client's socket until EOF and closes it; returns all the bytes."""
+    received, loop = b"", asyncio.get_running_loop()
     while data := await loop.sock_recv(client, 65536):
-        got += data
+        received += data
     client.close()
-    return got
+    return received
 
 
 @on_loop
-async def test_what_was_sent_before_an_idle_connection_is_closed_is_served(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        client = blocking(node, b"")
-        while not node.service.clients.connections:
+async def test_command_unread_when_draining_begins_is_served(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client = connect_and_send(harness, b"")
+        while not harness.service.clients.connections:
             await asyncio.sleep(0)
-        client.send(command())  # lies unread
-        node.service.clients.drain()
-        assert await take(client) == CLIENT_REPLY
+        client.send(command())  # the gateway has not read it yet
+        harness.service.clients.drain()
+        assert await read_to_end(client) == CLIENT_REPLY
 
 
 @on_loop
-async def test_commands_read_together_before_a_close_are_all_answered(tmp_path):
-    """Though the first of them is answered at once, which leaves nothing in work."""
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        client = blocking(node, b"")
-        while not node.service.clients.connections:
+async def test_commands_read_together_before_close_are_all_answered(tmp_path):
+    """The first is answered at once, so no command is pending while the others are not dispatched yet."""
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client = connect_and_send(harness, b"")
+        while not harness.service.clients.connections:
             await asyncio.sleep(0)
         client.send(b"*1\r\n$4\r\nPING\r\n" + command(b"refused", fields=command_fields(d="1")) + command())
-        node.service.clients.drain()
-        assert await take(client) == b"+PONG\r\n-BUSY\r\n" + CLIENT_REPLY
+        harness.service.clients.drain()
+        assert await read_to_end(client) == b"+PONG\r\n-BUSY\r\n" + CLIENT_REPLY
 
 
 @on_loop
-async def test_a_command_behind_the_last_answer_is_served_before_the_close(tmp_path):
-    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
-        client = blocking(node, command(b"first"))
-        await host.arrived.get()
-        node.service.clients.drain()
-        (work,) = node.service.active_requests.values()
-        client.send(command(b"second"))  # lies unread
-        host.answer = SERVER_REPLY
-        node.service.finish_request(work, CLIENT_REPLY)
-        assert await take(client) == CLIENT_REPLY * 2
+async def test_command_unread_at_last_response_is_served_before_close(tmp_path):
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        client = connect_and_send(harness, command(b"first"))
+        await server.arrived.get()
+        harness.service.clients.drain()
+        (request,) = harness.service.active_requests.values()
+        client.send(command(b"second"))  # the gateway has not read it yet
+        server.answer = SERVER_REPLY
+        harness.service.finish_request(request, CLIENT_REPLY)
+        assert await read_to_end(client) == CLIENT_REPLY * 2
 
 
 @on_loop
-async def test_connections_that_wait_at_the_listener_are_served_at_the_end(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+async def test_connections_in_accept_queue_are_served_at_shutdown(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
         ping, pong = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
-        asked = [blocking(node, ping) for _ in range(60)] + [
-            blocking(node, command(b"r%d" % n)) for n in range(8)
+        waiting = [connect_and_send(harness, ping) for _ in range(60)] + [
+            connect_and_send(harness, command(b"r%d" % n)) for n in range(8)
         ]
-        assert not node.service.clients.connections
-        await node.service.clients.stop_accepting()
-        node.service.clients.drain()
-        assert [await take(client) for client in asked] == [pong] * 60 + [CLIENT_REPLY] * 8
+        assert not harness.service.clients.connections
+        await harness.service.clients.stop_accepting()
+        harness.service.clients.drain()
+        assert [await read_to_end(client) for client in waiting] == [pong] * 60 + [CLIENT_REPLY] * 8
         with pytest.raises(ConnectionError):
-            blocking(node, b"")
+            connect_and_send(harness, b"")
 
 
 @on_loop
-async def test_a_command_in_two_parts_crosses_the_end_of_the_idle_time(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        text, (reader, writer) = command(), await node.connect()
+async def test_partial_command_at_idle_timeout_gets_time_to_complete(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        text, (reader, writer) = command(), await harness.connect()
         writer.write(text[:9])
-        while not (there := list(node.service.clients.connections)) or not there[0].partial:
+        while (
+            not (connections := list(harness.service.clients.connections)) or not connections[0].partial_bytes
+        ):
             await asyncio.sleep(0)
-        (client,), server = there, node.service.clients
-        server.idle[client] -= clients.IDLE  # as if the first part had come at its end
-        server.sweep()
-        client.began -= clients.HALF
-        writer.write(text[9:] + text[:9])  # the next one's time begins with its own first part
+        (client,), client_connections = connections, harness.service.clients
+        client_connections.idle[client] -= (
+            clients.IDLE_TIMEOUT
+        )  # as if the first part had come at the idle timeout
+        client_connections.sweep()
+        client.partial_since -= clients.MIN_PARTIAL_COMMAND_TIME
+        writer.write(text[9:] + text[:9])  # the next command's time counts from its own first part
         assert await read_reply(reader) == CLIENT_REPLY
-        while not client.partial or client not in server.idle:
+        while not client.partial_bytes or client not in client_connections.idle:
             await asyncio.sleep(0)
-        server.idle[client] -= clients.IDLE
-        server.sweep()
-        assert not client.closing
-        server.idle[client] -= clients.IDLE
-        client.began -= clients.HALF
-        server.sweep()
+        client_connections.idle[client] -= clients.IDLE_TIMEOUT
+        client_connections.sweep()
+        assert not client.is_closing
+        client_connections.idle[client] -= clients.IDLE_TIMEOUT
+        client.partial_since -= clients.MIN_PARTIAL_COMMAND_TIME
+        client_connections.sweep()
         assert await read_reply(reader) == b"-ERR command not finished in time\r\n"
 
 
 @on_loop
-async def test_what_a_client_not_read_for_a_while_has_sent_is_served_before_its_close(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+async def test_command_sent_while_reading_is_paused_is_served_before_close(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+
+        class SilentPolicy:
+            """Decides nothing."""
 
-        class Mute:
             def handle(self, now, event):
                 return []
 
-        module, node.service.policy = node.service.policy, Mute()
-        reader, writer = await node.connect()
-        for n in range(clients.MOST_PENDING):
+        policy, harness.service.policy = harness.service.policy, SilentPolicy()
+        reader, writer = await harness.connect()
+        for n in range(clients.MAX_PENDING_COMMANDS):
             writer.write(command(b"r%d" % n))
-        while not node.service.clients.unread:
+        while not harness.service.clients.reading_paused:
             await asyncio.sleep(0)
-        (client,) = node.service.clients.unread
+        (client,) = harness.service.clients.reading_paused
         writer.write(command(b"last"))
-        while not client.unread():
+        while not client.has_unread_bytes():
             await asyncio.sleep(0)
-        node.service.policy = module
-        node.service.clients.drain()
-        # so that the first releases all the others
-        for work in list(node.service.active_requests.values())[::-1]:
-            node.service.finish_request(work, CLIENT_REPLY)
-        assert [await read_reply(reader) for _ in range(clients.MOST_PENDING + 2)] == (
-            [CLIENT_REPLY] * (clients.MOST_PENDING + 1) + [b""]
+        harness.service.policy = policy
+        harness.service.clients.drain()
+        for request in list(harness.service.active_requests.values())[
+            ::-1
+        ]:  # so that the first releases the others
+            harness.service.finish_request(request, CLIENT_REPLY)
+        assert [await read_reply(reader) for _ in range(clients.MAX_PENDING_COMMANDS + 2)] == (
+            [CLIENT_REPLY] * (clients.MAX_PENDING_COMMANDS + 1) + [b""]
         )
-        assert [c[2] for c in host.commands] == [b"last"]
+        assert [c[2] for c in server.commands] == [b"last"]
 
 
 @on_loop
-async def test_half_a_command_ends_in_time_though_another_is_in_work(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "IDLE", 0.1)
-    async with StubServer(None) as host, GatewayHarness(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+async def test_partial_command_times_out_while_another_is_pending(tmp_path, monkeypatch):
+    monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.1)
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(command(b"r1", fields=command_fields(d="3600000")))
-        await host.arrived.get()
+        await server.arrived.get()
         writer.write(command(b"r2")[:9])
         assert await read_reply(reader) == b"-ERR failed\r\n"
         assert await read_reply(reader) == b"-ERR command not finished in time\r\n"
@@ -518,39 +547,41 @@
 
 
 @on_loop
-async def test_what_lay_unread_while_a_client_was_not_read_has_only_the_rest_of_its_time(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+async def test_time_unread_while_reading_was_paused_is_subtracted_from_deadline(tmp_path):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+
+        class SilentPolicy:
+            """Decides nothing."""
 
-        class Mute:
             def handle(self, now, event):
                 return []
 
-        module, node.service.policy = node.service.policy, Mute()
-        reader, writer = await node.connect()
-        for n in range(clients.MOST_PENDING):
+        policy, harness.service.policy = harness.service.policy, SilentPolicy()
+        reader, writer = await harness.connect()
+        for n in range(clients.MAX_PENDING_COMMANDS):
             writer.write(command(b"r%d" % n))
-        while not node.service.clients.unread:
+        while not harness.service.clients.reading_paused:
             await asyncio.sleep(0)
         writer.write(command(b"last"))
         asked = time.monotonic()
         await asyncio.sleep(0.4)
-        waited = time.monotonic() - asked  # it is not read before
-        node.service.policy = module
-        for work in list(node.service.active_requests.values()):
-            node.service.finish_request(work, CLIENT_REPLY)
-        assert [await read_reply(reader) for _ in range(clients.MOST_PENDING + 1)][-1] == CLIENT_REPLY
-        assert propagated_deadline_ms(host) <= 3000 - 1000 * waited + 150
+        waited = time.monotonic() - asked  # the command has not been read before now
+        harness.service.policy = policy
+        for request in list(harness.service.active_requests.values()):
+            harness.service.finish_request(request, CLIENT_REPLY)
+        assert [await read_reply(reader) for _ in range(clients.MAX_PENDING_COMMANDS + 1)][-1] == CLIENT_REPLY
+        assert propagated_deadline_ms(server) <= 3000 - 1000 * waited + 150
 
 
 @on_loop
-async def test_the_time_of_an_idle_client_begins_with_its_connecting_though_accept_failed(tmp_path):
-    """A client that says nothing is owed its close within 3 s of connecting."""
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        server = node.service.clients
+async def test_idle_timeout_counts_from_connect_when_accept_has_failed(tmp_path):
+    """A client that sends nothing must be closed within 3 s of connecting."""
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        client_connections = harness.service.clients
         before = time.monotonic()
-        server.listener._failing_since = before - 1.0  # accept has failed for a second
-        await node.connect()
-        while not server.idle:
+        client_connections.listener._failing_since = before - 1.0  # accept calls have failed for 1 s
+        await harness.connect()
+        while not client_connections.idle:
             await asyncio.sleep(0)
-        (since,) = server.idle.values()
+        (since,) = client_connections.idle.values()
         assert since < before
