--- a/calicomast/net/local_errors.py
+++ b/calicomast/net/local_errors.py
@@ -1,6 +1,6 @@
-"""Errors of system calls that tell of this machine, not of the peer: no descriptor, memory, port or route.
+"""Errors of system calls that are caused by this machine: no free descriptor, memory, local port or route.
 
-They last for a moment. What they keep from being done is tried again, and no server is blamed for them.
+Such errors are temporary. The caller retries what failed and does not count the failure against the server.
 """
 
 from __future__ import annotations
@@ -23,6 +23,6 @@
 )
 
 
-def is_local_error(err: BaseException | None) -> bool:
-    """Whether an error tells of this machine."""
-    return isinstance(err, OSError) and err.errno in LOCAL_ERRNOS
+def is_local_error(error: BaseException | None) -> bool:
+    """Returns whether this machine caused an error, rather than the peer."""
+    return isinstance(error, OSError) and error.errno in LOCAL_ERRNOS
