--- a/calicomast/net/counter.py
+++ b/calicomast/net/counter.py
@@ -1,4 +1,7 @@
-"""Calls to the counter: pipelined over a few kept connections, each name on one of them."""
+"""Client of the counter service: pipelined calls over a few persistent connections.
+
+Each counter name is assigned to one of the connections, so that responses for a name arrive in order.
+"""
 
 from __future__ import annotations
 
@@ -12,203 +15,287 @@
 
 from calicomast.net.listing import Address
 
-CONNECTION_COUNT = 4  # connections, so that a part that is slow does not hold up the names of the others
-KEEP_ALIVE = 2.0  # s without a call after which a `ping`, which costs nothing, keeps a connection open
-CHECK = 0.25  # s between looks for silent and idle connections
-SILENT, SILENT_CALLS = 0.5, 2.0  # s, or times a call's time-out, without an answer: the connection is dead
-BACKOFF_LEAST, BACKOFF_MOST = 0.05, 1.0  # s between tries to connect
-PING = -1  # in place of a name
-MOST_LINE = 4096  # bytes of an answer
-TOTAL = re.compile(rb"-?[0-9]{1,20}(\.[0-9]{1,20})?(e[+-]?[0-9]{1,2})?")  # float() takes nan and 1_0 too
+CONNECTION_COUNT = 4  # several, so that a slow partition of the counter does not delay the other names
+KEEP_ALIVE_INTERVAL = 2.0  # seconds without a call, after which a `ping`, which is free, keeps the connection
+CHECK_INTERVAL = 0.25  # seconds between checks for silent and idle connections
+# A connection is dead after this time without a response: the larger of the two.
+MIN_SILENCE_TIMEOUT = 0.5  # seconds
+SILENCE_TIMEOUT_FACTOR = 2.0  # multiple of a call's timeout
+MIN_BACKOFF = 0.05  # seconds before reconnecting; doubled after each failure
+MAX_BACKOFF = 1.0  # seconds
+PING_NAME = -1  # the name of a `ping` call, which concerns no counter
+MAX_RESPONSE_LINE = 4096  # bytes
+# Stricter than float(), which accepts nan and 1_0 as well.
+TOTAL_PATTERN = re.compile(rb"-?[0-9]{1,20}(\.[0-9]{1,20})?(e[+-]?[0-9]{1,2})?")
 
 log = logging.getLogger(__name__)
 
-Done = Callable[[int, str, float, float], None]  # name, result, total, elapsed
+CallDone = Callable[[int, str, float, float], None]  # name, result, total, elapsed seconds
 
 
 class Call:
-    __slots__ = ("name", "done", "started", "timer")
+    """One call to the counter. `on_done` receives its result once.
+
+    Attributes:
+        name: the number of the counter, or PING_NAME.
+        on_done: None once the result was reported, and for a ping.
+        started_at: monotonic time.
+        timer: ends the call with "timeout".
+    """
+
+    __slots__ = ("name", "on_done", "started_at", "timer")
 
-    def __init__(self, name: int, done: Done | None) -> None:
-        self.name, self.done, self.started = name, done, monotonic()
+    def __init__(self, name: int, on_done: CallDone | None) -> None:
+        self.name, self.on_done, self.started_at = name, on_done, monotonic()
         self.timer: asyncio.TimerHandle | None = None
 
     def end(self, result: str, total: float = 0.0) -> None:
-        """Reports once. What comes after a time-out only keeps the place in the order of answers."""
+        """Reports the result, at most once.
+
+        A call that timed out stays queued, because its late response still takes its turn in the order of
+        responses. That response is not reported.
+        """
         if self.timer is not None:
             self.timer.cancel()
-        done, self.done = self.done, None
-        if done is not None:
-            done(self.name, result, total, monotonic() - self.started)
+        on_done, self.on_done = self.on_done, None
+        if on_done is not None:
+            on_done(self.name, result, total, monotonic() - self.started_at)
+
 
+class CounterConnection(asyncio.Protocol):
+    """One connection to the counter. It reconnects whenever the connection is lost.
 
-class Line(asyncio.Protocol):
-    """One connection, made again whenever it is lost."""
+    Args:
+        address: where the counter listens.
+        on_connected: called each time the connection is established.
+        silence_timeout: seconds without a response after which it reconnects.
+    """
 
-    def __init__(self, address: Address, up: Callable[[Line], None], silent: float) -> None:
-        self.silent = silent  # s without an answer after which it is made anew
-        self.address, self.up, self.task = address, up, asyncio.get_running_loop().create_task(self.keep())
-        self.retired = False  # another took its place: it ends with the last answer that it waits for
+    def __init__(
+        self, address: Address, on_connected: Callable[[CounterConnection], None], silence_timeout: float
+    ) -> None:
+        self.silence_timeout = silence_timeout
+        self.address = address
+        self.on_connected = on_connected
+        self.task = asyncio.get_running_loop().create_task(self.keep_connected())
+        self.retired = False  # replaced by another connection; closes after the last pending response
         self.transport: asyncio.Transport | None = None
-        self.calls: deque[Call] = deque()  # written and not answered
-        self.rest, self.blocked, self.used = b"", False, 0.0
-        self.lost = asyncio.Event()
+        self.pending_calls: deque[Call] = deque()  # written, without a response so far
+        self.unparsed = b""
+        self.write_blocked = False
+        self.last_used = 0.0  # monotonic time
+        self.disconnected = asyncio.Event()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop: resets the state for a new connection and reports it."""
         self.transport = transport  # type: ignore[assignment]
-        # pause_writing then tells at once that the socket did not take a whole call.
+        # With this limit, pause_writing is called at once if the socket did not take a whole call.
         transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
-        self.rest, self.blocked, self.used = b"", False, monotonic()
-        self.up(self)
+        self.unparsed = b""
+        self.write_blocked = False
+        self.last_used = monotonic()
+        self.on_connected(self)
 
     def pause_writing(self) -> None:
-        self.blocked = True
+        """Called by the event loop: the socket's send buffer is full."""
+        self.write_blocked = True
 
     def resume_writing(self) -> None:
-        self.blocked = False
+        """Called by the event loop: all buffered bytes were sent."""
+        self.write_blocked = False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Called by the event loop: ends all pending calls and lets `keep_connected` reconnect."""
         self.transport = None
-        calls, self.calls = self.calls, deque()
-        for call in calls:  # written, so each may have been added
+        calls, self.pending_calls = self.pending_calls, deque()
+        for call in calls:  # they were written, so the counter may have added each of them
             call.end("timeout")
-        self.lost.set()
+        self.disconnected.set()
 
     def retire(self) -> None:
+        """Closes the connection once its pending calls have their responses."""
         self.retired = True
-        if not self.calls:
+        if not self.pending_calls:
             self.close()
 
     def close(self) -> None:
+        """Closes the connection for good."""
         self.task.cancel()
         self.abort()
 
-    def write(self, call: Call, text: bytes) -> bool:
-        """False if nothing of it was written."""
-        if self.transport is None or self.blocked or self.transport.is_closing():
+    def write(self, call: Call, command: bytes) -> bool:
+        """Writes a call; returns False if nothing of it was written."""
+        if self.transport is None or self.write_blocked or self.transport.is_closing():
             return False
-        self.calls.append(call)
-        self.used = call.started
-        self.transport.write(text)
+        self.pending_calls.append(call)
+        self.last_used = call.started_at
+        self.transport.write(command)
         return True
 
     def data_received(self, data: bytes) -> None:
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        """Called by the event loop: handles each complete line of the responses."""
+        *lines, self.unparsed = (self.unparsed + data).split(b"\n")
         for line in lines:
-            if not self.answer(line.split()):
-                self.spoilt(line)
+            if not self.handle_response(line.split()):
+                self.handle_malformed_response(line)
                 return
-        if len(self.rest) > MOST_LINE:
-            self.spoilt(self.rest)
-        elif self.retired and not self.calls:
+        if len(self.unparsed) > MAX_RESPONSE_LINE:
+            self.handle_malformed_response(self.unparsed)
+        elif self.retired and not self.pending_calls:
             self.close()
 
-    def answer(self, words: list[bytes]) -> bool:
-        if not self.calls or not words or (words[0] == b"pong") != (self.calls[0].name == PING):
+    def handle_response(self, words: list[bytes]) -> bool:
+        """Ends the oldest pending call with its response; returns False if the response is malformed."""
+        if (
+            not self.pending_calls
+            or not words
+            or (words[0] == b"pong") != (self.pending_calls[0].name == PING_NAME)
+        ):
             return False
         if words[0] == b"ok" and len(words) == 2:
-            if not TOTAL.fullmatch(words[1]):
+            if not TOTAL_PATTERN.fullmatch(words[1]):
                 return False
-            self.calls.popleft().end("ok", float(words[1]))
+            self.pending_calls.popleft().end("ok", float(words[1]))
         elif words[0] in (b"busy", b"error"):
-            self.calls.popleft().end("full")
+            self.pending_calls.popleft().end("full")
         elif words[0] == b"pong":
-            self.calls.popleft().end("ok")
+            self.pending_calls.popleft().end("ok")
         else:
             return False
         return True
 
-    def spoilt(self, text: bytes) -> None:
-        """An answer that cannot be read: its call was added, and nothing behind it can be told apart."""
-        log.warning("counter: unexpected answer %r", text[:80])
-        if self.calls and self.calls[0].name != PING:
-            self.calls.popleft().end("spoilt")
+    def handle_malformed_response(self, text: bytes) -> None:
+        """Drops the connection, because the responses that follow can no longer be matched to calls.
+
+        The counter has added the call that was answered, but its total is unknown.
+        """
+        log.warning("malformed response from the counter: %r", text[:80])
+        if self.pending_calls and self.pending_calls[0].name != PING_NAME:
+            self.pending_calls.popleft().end("spoilt")
         self.abort()
 
     def abort(self) -> None:
+        """Drops the current connection, if there is one; it reconnects unless it was closed."""
         if self.transport is not None:
             self.transport.abort()
 
     def check(self) -> None:
+        """Drops a connection that no longer responds; pings one that is idle. Called at CHECK_INTERVAL."""
         now = monotonic()
-        if self.calls and now - self.calls[0].started > self.silent:
-            # A machine that vanished says nothing, and its connections stay open for good.
-            log.warning("counter: no answer for %.1f s, connecting again", self.silent)
+        if self.pending_calls and now - self.pending_calls[0].started_at > self.silence_timeout:
+            # A machine that vanished sends nothing, not even a reset: the connection would stay open forever.
+            log.warning("no response from the counter for %.1f s, reconnecting", self.silence_timeout)
             self.abort()
-        elif not self.calls and not self.retired and now - self.used > KEEP_ALIVE:
-            self.write(Call(PING, None), b"ping\r\n")
+        elif not self.pending_calls and not self.retired and now - self.last_used > KEEP_ALIVE_INTERVAL:
+            self.write(Call(PING_NAME, None), b"ping\r\n")
 
-    async def keep(self) -> None:
-        loop, pause = asyncio.get_running_loop(), BACKOFF_LEAST
+    async def keep_connected(self) -> None:
+        """Connects, and connects again with backoff whenever the connection is lost, until it is retired."""
+        loop, backoff = asyncio.get_running_loop(), MIN_BACKOFF
         while not self.retired:
-            self.lost.clear()
+            self.disconnected.clear()
             try:
                 async with asyncio.timeout(1.0):
                     await loop.create_connection(lambda: self, *self.address)
             except (OSError, TimeoutError):
-                if self.transport is not None:  # it was up as its time ended: dropped unsaid
+                # If the connection came up just as the timeout expired, the event loop closes it without a
+                # call of connection_lost.
+                if self.transport is not None:
                     self.connection_lost(None)
-                await asyncio.sleep(pause)
-                pause = min(BACKOFF_MOST, 2 * pause)
+                await asyncio.sleep(backoff)
+                backoff = min(MAX_BACKOFF, 2 * backoff)
                 continue
-            made = monotonic()
-            await self.lost.wait()
-            if monotonic() - made < BACKOFF_MOST:  # accepted, then closed: no reason to hurry
-                await asyncio.sleep(pause)
-                pause = min(BACKOFF_MOST, 2 * pause)
+            connected_at = monotonic()
+            await self.disconnected.wait()
+            if monotonic() - connected_at < MAX_BACKOFF:  # accepted, then closed soon after
+                await asyncio.sleep(backoff)
+                backoff = min(MAX_BACKOFF, 2 * backoff)
             else:
-                pause = BACKOFF_LEAST
+                backoff = MIN_BACKOFF
 
 
 class CounterClient:
+    """Calls the counter over CONNECTION_COUNT connections.
+
+    Args:
+        address: where the counter listens.
+        timeout: seconds that a call waits for its response.
+    """
+
     def __init__(self, address: Address, timeout: float) -> None:
         self.timeout, self.address = timeout, address
-        self.lines: list[Line] = []
-        self.next: dict[int, Line] = {}  # by their place: lines to a new address until they are up
-        self.old: set[Line] = set()  # lines to an old address until their last answer
-        self.task: asyncio.Task[None] | None = None
+        self.connections: list[CounterConnection] = []
+        # By index: connections to a new address until they are established.
+        self.replacements: dict[int, CounterConnection] = {}
+        # Connections to a previous address until their last response.
+        self.retired_connections: set[CounterConnection] = set()
+        self.check_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        self.lines = [self.line() for _ in range(CONNECTION_COUNT)]
-        self.task = asyncio.get_running_loop().create_task(self.checks())
-
-    def line(self) -> Line:
-        return Line(self.address, self.came_up, max(SILENT, SILENT_CALLS * self.timeout))
+        """Starts to connect, and the periodic checks."""
+        self.connections = [self.new_connection() for _ in range(CONNECTION_COUNT)]
+        self.check_task = asyncio.get_running_loop().create_task(self.run_checks())
+
+    def new_connection(self) -> CounterConnection:
+        """Creates a connection to the current address; it connects by itself."""
+        return CounterConnection(
+            self.address,
+            self.replace_connection,
+            max(MIN_SILENCE_TIMEOUT, SILENCE_TIMEOUT_FACTOR * self.timeout),
+        )
 
     def change_address(self, address: Address) -> None:
-        """The counter is elsewhere. Each line is used until the one that replaces it is up."""
+        """Moves to another address. Each connection is used until its replacement is established."""
         self.address = address
-        for line in self.next.values():
-            line.close()
-        self.next = {place: self.line() for place in range(CONNECTION_COUNT)}
-
-    def came_up(self, line: Line) -> None:
-        for place in [place for place, new in self.next.items() if new is line]:
-            replaced, self.lines[place] = self.lines[place], self.next.pop(place)
-            self.old.add(replaced)
+        for connection in self.replacements.values():
+            connection.close()
+        self.replacements = {index: self.new_connection() for index in range(CONNECTION_COUNT)}
+
+    def replace_connection(self, connection: CounterConnection) -> None:
+        """Puts a connection to a new address, now established, in the place of the one it replaces."""
+        for index in [index for index, new in self.replacements.items() if new is connection]:
+            replaced, self.connections[index] = self.connections[index], self.replacements.pop(index)
+            self.retired_connections.add(replaced)
             replaced.retire()
 
-    async def checks(self) -> None:
+    async def run_checks(self) -> None:
+        """Checks all connections at CHECK_INTERVAL and forgets retired ones without pending calls."""
         while True:
-            await asyncio.sleep(CHECK)
-            for line in [*self.lines, *self.old]:
-                line.check()
-            self.old = {line for line in self.old if line.calls}
-
-    def add(self, name: int, amount: float, lifetime: float, done: Done) -> None:
-        call = Call(name, done)
-        text = b"incr %d %s %d\r\n" % (name, f"{amount:.7g}".encode(), max(1, math.ceil(lifetime * 1000)))
+            await asyncio.sleep(CHECK_INTERVAL)
+            for connection in [*self.connections, *self.retired_connections]:
+                connection.check()
+            self.retired_connections = {
+                connection for connection in self.retired_connections if connection.pending_calls
+            }
+
+    def add(self, name: int, amount: float, lifetime: float, on_done: CallDone) -> None:
+        """Adds an amount to a counter; `on_done` gets the result and the new total.
+
+        Args:
+            name: the number of the counter.
+            amount: in units.
+            lifetime: seconds for which the counter keeps this name.
+            on_done: called once with one of these results: "ok", "full" (the counter responded busy or
+                error), "timeout" (may have been added), "spoilt" (malformed response: added, total unknown),
+                "connect_failed" (not sent).
+        """
+        call = Call(name, on_done)
+        command = b"incr %d %s %d\r\n" % (name, f"{amount:.7g}".encode(), max(1, math.ceil(lifetime * 1000)))
         loop = asyncio.get_running_loop()
-        # One line a name keeps its answers in order. Another stands in while that one is being made again, as
-        # it is after each answer that cannot be read.
-        place = name % CONNECTION_COUNT
-        if any(line.write(call, text) for line in self.lines[place:] + self.lines[:place]):
+        # One connection per name keeps the responses in order. Another one is used while that one reconnects,
+        # as it does after each malformed response.
+        index = name % CONNECTION_COUNT
+        if any(
+            connection.write(call, command)
+            for connection in self.connections[index:] + self.connections[:index]
+        ):
             call.timer = loop.call_later(self.timeout, call.end, "timeout")
         else:
             loop.call_soon(call.end, "connect_failed")
 
     def close(self) -> None:
-        if self.task is not None:
-            self.task.cancel()
-        for line in [*self.lines, *self.next.values(), *self.old]:
-            line.close()
+        """Stops the checks and closes all connections."""
+        if self.check_task is not None:
+            self.check_task.cancel()
+        for connection in [*self.connections, *self.replacements.values(), *self.retired_connections]:
+            connection.close()
