--- a/calicomast/net/server_connections.py
+++ b/calicomast/net/server_connections.py
@@ -1,7 +1,7 @@
-"""Connections to hosts: attempts, their outcomes, probes.
+"""Connections to servers: attempts, their results, and probes.
 
-One attempt at a time on a connection: answers come in order, so a stuck one would hold up those behind it,
-and giving one up costs the connection.
+A connection carries one attempt at a time. Responses arrive in order, so a slow one would delay those behind
+it, and cancelling an attempt closes its connection.
 """
 
 from __future__ import annotations
@@ -25,47 +25,59 @@
 from calicomast.net.local_errors import is_local_error
 from calicomast.settings import read_report
 
-REUSE_DELAY = (
-    0.02  # s after an answer in which what comes behind it can still show itself: some milliseconds late
-)
-IDLE_MARGIN = 0.1  # part of the hosts' idle time by which a connection is closed before them
-IDLE_CHECK = 0.5  # s between looks for idle connections
-AGES = [0.02 * 1.5**k for k in range(18)]  # s; steps of the time that connections have rested, up to 20 s
-NEW_COST = 0.1  # part of an attempt that a new connection is worth: the host's work for it, and the time
-LOST_LEAST = 2.0  # attempts saved, from which it is more than chance that rested connections are stale
-FADE = 30.0  # s after which half of what is known of rested connections is forgotten
-MOST_LOAD = 10_000.0  # of any figure in a load report; one beyond would spoil the means for long
-MOST_USED = 1_000_000  # percent of a customer's rate; more than that is no figure on use
+REUSE_DELAY = 0.02  # seconds after a response; a duplicate of it can arrive some milliseconds late
+IDLE_TIMEOUT_MARGIN = 0.1  # fraction of the servers' idle timeout by which the gateway closes earlier
+IDLE_CHECK_INTERVAL = 0.5  # seconds between checks for expired idle connections
+IDLE_TIME_STEPS = [0.02 * 1.5**k for k in range(18)]  # seconds, up to 20; idle times are counted by step
+NEW_CONNECTION_COST = 0.1  # attempts; for the server's work on a new connection, and the time it takes
+MIN_SAVED_ATTEMPTS = 2.0  # a smaller saving by closing idle connections may be chance
+IDLE_LOSS_HALF_LIFE = 30.0  # seconds after which the counts of idle connections have decayed by half
+MAX_LOAD = 10_000.0  # of any figure in a load report; a larger one would distort the averages for long
+MAX_QUOTA_USAGE = 1_000_000  # percent of a tenant's rate; a larger number is not a usage figure
 PROBE_TAG = object()  # the tag of an attempt that is a probe
 PROBE_COMMAND = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
 
 Report = dict[str, float]
-REPORT = re.compile(r"(\w+=([0-9]{1,9}(\.[0-9]{1,9})?)?(,|$))+")  # the protocol's form; float() takes more
+# The protocol's format; float() alone accepts more.
+REPORT_PATTERN = re.compile(r"(\w+=([0-9]{1,9}(\.[0-9]{1,9})?)?(,|$))+")
 
 log = logging.getLogger(__name__)
 
 
 class Attempt:
-    """One command for one host. `begin` gives what is written, in the same step as the write, or None if it
-    may not begin any more. `done` gets the attempt once, when `result` (of interface.RESULTS) is known.
+    """One command sent to one server.
 
     Attributes:
-        retry_until: clock time by which it has to be written, as a repeat.
-        slow_start: whether the server has just started, so that a late write needs the module's leave.
-        permitted: whether it was found in this same step that it may begin.
+        server: the id of the server.
+        build_command: called in the same step as the write; returns the bytes to write, or None if the
+            attempt may no longer begin.
+        on_done: called once with the attempt, when `result` is set.
+        tag: a value of the caller, or PROBE_TAG.
+        started_at: monotonic time at which the attempt was created.
+        result: one of interface.RESULTS; empty until the attempt has ended.
+        value: the value that the server returned.
+        quota_usage: the server's figure: 1 + percent of the tenant's rate used in the last metered period;
+            0 if there is none.
+        report: the load report that came with the response.
+        connection: the connection that it was handed to.
+        timer: cancels the attempt at its timeout.
+        state: AttemptState.
+        retry_until: clock time by which it has to be written, if it is a retry.
+        slow_start: whether the server has just started, so that a late write needs the policy's permission.
+        permitted: whether the caller has checked in this same step that the attempt may begin.
     """
 
     __slots__ = (
         "server",
-        "begin",
-        "done",
+        "build_command",
+        "on_done",
         "tag",
-        "started",
+        "started_at",
         "result",
         "value",
         "quota_usage",
         "report",
-        "conn",
+        "connection",
         "timer",
         "state",
         "retry_until",
@@ -76,127 +88,172 @@
     def __init__(
         self,
         server: str,
-        begin: Callable[[Attempt], bytes | None],
-        done: Callable[[Attempt], None],
+        build_command: Callable[[Attempt], bytes | None],
+        on_done: Callable[[Attempt], None],
         tag: Any = None,
     ) -> None:
-        self.server, self.begin, self.done, self.tag, self.started = server, begin, done, tag, monotonic()
+        self.server = server
+        self.build_command = build_command
+        self.on_done = on_done
+        self.tag = tag
+        self.started_at = monotonic()
         self.state = AttemptState.WAITING
-        self.retry_until, self.slow_start, self.permitted = math.inf, False, False
+        self.retry_until = math.inf
+        self.slow_start = False
+        self.permitted = False
         self.result = ""
         self.value = b""
         self.quota_usage = 0
         self.report: Report = {}
-        self.conn: Connection | None = None
+        self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def elapsed(self) -> float:
-        return monotonic() - self.started
+        """Returns the seconds since the attempt was created."""
+        return monotonic() - self.started_at
 
     def end(self, result: str) -> None:
+        """Sets the result and reports it to `on_done`, unless the attempt has already ended."""
         if self.result:
             return
         self.result = result
         self.state = change(self.state, AttemptState.ENDED, self.server)
         if self.timer is not None:
             self.timer.cancel()
-        self.done(self)
+        self.on_done(self)
 
     @property
     def written(self) -> bool:
-        """Whether the socket took the last byte: from then on the request may have run."""
-        return self.conn is not None and self.conn.written
+        """Whether the socket took the last byte. From then on the server may have executed the request."""
+        return self.connection is not None and self.connection.written
 
 
 def parse_report(text: object) -> Report:
-    """What a load report says; one that is missing or malformed says nothing."""
+    """Returns the figures of a load report; none if the report is missing or malformed."""
     if isinstance(text, bytes):
         text = text.decode("utf-8", "replace")
-    if not isinstance(text, str) or not REPORT.fullmatch(text):
+    if not isinstance(text, str) or not REPORT_PATTERN.fullmatch(text):
         return {}
     report = read_report(pair.split("=", 1) for pair in text.rstrip(",").split(","))
-    return report if all(v <= MOST_LOAD for v in report.values()) else {}
+    return report if all(value <= MAX_LOAD for value in report.values()) else {}
 
 
-class Staleness:
-    """After which rest a connection is worse than a new one.
+class IdleLossEstimator:
+    """Estimates the idle time after which a connection is worse than a new one.
 
-    What lies between may drop connections that rest, for less than the hosts allow, and tell neither end: the
-    next request is then reset. That covers address translation, a proxy's or a host's own shorter limit and a
-    host that was replaced at its address. `limit` is the rest beyond which closing would have saved the most
-    attempts. Harm: where resets come by chance alone, a new connection is made for nothing until half is
-    forgotten; what has got better is found as late."""
+    A device on the path may drop idle connections sooner than the servers do, and notify neither end. The
+    next request on such a connection is reset. This covers address translation, a shorter limit of a proxy or
+    of a server, and a server that was replaced at its address.
+
+    Trade-off: where resets come by chance alone, connections are replaced without benefit until the counts
+    have decayed by half. An improvement is noticed as late.
+
+    Attributes:
+        idle_limit: seconds of idle time beyond which closing connections would have saved the most attempts.
+    """
 
     def __init__(self) -> None:
-        self.uses, self.lost = [0.0] * (len(AGES) + 1), [0.0] * (len(AGES) + 1)
-        self.new_uses, self.new_lost = 10.0, 0.0  # as if some had gone well: a first reset says little
-        self.limit = math.inf
-
-    def note(self, rested: float, lost: bool) -> None:
-        """What came of an attempt on a connection that had rested so long; 0: a new one."""
-        if rested <= 0:
-            self.new_uses, self.new_lost = self.new_uses + 1, self.new_lost + lost
+        self.uses = [0.0] * (len(IDLE_TIME_STEPS) + 1)  # attempts, by step of the idle time before them
+        self.losses = [0.0] * (len(IDLE_TIME_STEPS) + 1)  # those of them that were reset
+        # As if 10 attempts had gone well, so that a first reset has little weight.
+        self.new_connection_uses = 10.0
+        self.new_connection_losses = 0.0
+        self.idle_limit = math.inf
+
+    def record(self, idle_time: float, lost: bool) -> None:
+        """Counts an attempt on a connection that was idle for so many seconds before it; 0: a new one."""
+        if idle_time <= 0:
+            self.new_connection_uses = self.new_connection_uses + 1
+            self.new_connection_losses = self.new_connection_losses + lost
             return
-        step = bisect.bisect(AGES, rested)
+        step = bisect.bisect(IDLE_TIME_STEPS, idle_time)
         self.uses[step] += 1
-        self.lost[step] += lost
+        self.losses[step] += lost
         if lost:
-            self.learn()
+            self.update_limit()
+
+    def update_limit(self) -> None:
+        """Sets the limit to the step from which closing would have saved the most attempts."""
+        saved, most_saved, self.idle_limit = 0.0, MIN_SAVED_ATTEMPTS, math.inf
+        expected_loss = self.new_connection_losses / self.new_connection_uses + NEW_CONNECTION_COST
+        for step in range(len(IDLE_TIME_STEPS), 0, -1):
+            saved += self.losses[step] - self.uses[step] * expected_loss
+            if saved > most_saved:
+                most_saved, self.idle_limit = saved, IDLE_TIME_STEPS[step - 1]
+
+    def decay(self, seconds: float) -> None:
+        """Decays all counts by the time that has passed."""
+        factor = 0.5 ** (seconds / IDLE_LOSS_HALF_LIFE)
+        self.uses = [count * factor for count in self.uses]
+        self.losses = [count * factor for count in self.losses]
+        self.new_connection_uses = 10.0 + (self.new_connection_uses - 10.0) * factor
+        self.new_connection_losses = self.new_connection_losses * factor
+        self.update_limit()
 
-    def learn(self) -> None:
-        saved, most, self.limit = 0.0, LOST_LEAST, math.inf
-        usual = self.new_lost / self.new_uses + NEW_COST
-        for step in range(len(AGES), 0, -1):
-            saved += self.lost[step] - self.uses[step] * usual
-            if saved > most:
-                most, self.limit = saved, AGES[step - 1]
 
-    def fade(self, seconds: float) -> None:
-        keep = 0.5 ** (seconds / FADE)
-        self.uses, self.lost = [n * keep for n in self.uses], [n * keep for n in self.lost]
-        self.new_uses, self.new_lost = 10.0 + (self.new_uses - 10.0) * keep, self.new_lost * keep
-        self.learn()
+class Connection(asyncio.Protocol):
+    """One connection to a server.
 
+    Attributes:
+        pool: the pool that it belongs to.
+        attempt: the attempt in progress on it.
+        written: whether the socket took every byte so far.
+        idle_since: monotonic time at which its last attempt ended; 0 before the first attempt.
+        idle_time: seconds for which it was idle before its attempt; 0 on a new connection.
+        response_started: whether any byte of the response to its attempt has arrived.
+    """
 
-class Connection(asyncio.Protocol):
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.framing = Framing()
         self.state = ServerState.CONNECTING
         self.attempt: Attempt | None = None
-        self.written, self.idle_since = True, 0.0
-        self.rested, self.heard = 0.0, False  # s before its attempt, 0 on a new one; anything of an answer
+        self.written = True
+        self.idle_since = 0.0
+        self.idle_time = 0.0
+        self.response_started = False
         self.transport: asyncio.Transport | None = None
-        self.family, self.descriptor = 0, -1
+        self.family = 0
+        self.descriptor = -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop once the connection is established."""
         self.transport = transport  # type: ignore[assignment]
-        told = transport.get_extra_info("socket")
-        self.family, self.descriptor = told.family, told.fileno()
-        # With no room above the socket, pause_writing tells at once that it did not take every byte.
+        transport_socket = transport.get_extra_info("socket")
+        self.family = transport_socket.family
+        self.descriptor = transport_socket.fileno()
+        # With this limit, pause_writing is called at once if the socket did not take every byte.
         transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
 
     def pause_writing(self) -> None:
+        """Called by the event loop: some bytes are still buffered above the socket."""
         self.written = False
 
     def resume_writing(self) -> None:
+        """Called by the event loop: the socket took all buffered bytes."""
         self.written = True
 
     @contextlib.contextmanager
-    def borrowed(self) -> Iterator[socket.socket]:
-        """The open transport's socket, for one call. It is not kept: uvloop drops a transport whose connect
-        is called off without connection_lost, and a socket left over would close another's descriptor."""
+    def borrow_socket(self) -> Iterator[socket.socket]:
+        """Yields the socket of the open transport for one call.
+
+        The socket object is not kept. If a connect is cancelled, uvloop drops the transport without calling
+        connection_lost, and a socket object left over would later close a descriptor that is in use again.
+        """
         sock = socket.socket(self.family, socket.SOCK_STREAM, 0, self.descriptor)
         try:
             yield sock
         finally:
             sock.detach()
 
-    def quiet(self) -> bool:
-        """Whether nothing is to be read, not even the end: what follows an answer is never the next one."""
+    def is_reusable(self) -> bool:
+        """Returns whether the connection is open and has nothing to read, neither bytes nor the end.
+
+        Bytes that follow a response never belong to the next one.
+        """
         if self.transport is None or self.transport.is_closing():
             return False
-        with self.borrowed() as sock:
+        with self.borrow_socket() as sock:
             try:
                 sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             except BlockingIOError:
@@ -205,159 +262,191 @@
                 pass
         return False
 
-    def start(self, attempt: Attempt) -> bool:
-        """Writes an attempt, if it may still begin; False if not, and the connection is as free as before."""
+    def start_attempt(self, attempt: Attempt) -> bool:
+        """Writes an attempt; returns False and changes nothing if it may no longer begin."""
         assert self.transport is not None
-        payload = attempt.begin(attempt)
-        if payload is None:
+        command = attempt.build_command(attempt)
+        if command is None:
             return False
         self.state = change(self.state, ServerState.BUSY, attempt.server)
         attempt.state = change(attempt.state, AttemptState.RUNNING, attempt.server)
-        self.attempt, attempt.conn = attempt, self
-        self.rested, self.heard = monotonic() - self.idle_since if self.idle_since else 0.0, False
-        self.transport.write(payload)
+        self.attempt, attempt.connection = attempt, self
+        self.idle_time = monotonic() - self.idle_since if self.idle_since else 0.0
+        self.response_started = False
+        self.transport.write(command)
         if self.transport.is_closing():  # the write failed at once, so the socket took nothing
             self.written = False
         return True
 
     def data_received(self, data: bytes) -> None:
+        """Called by the event loop: ends the attempt once its response is complete."""
         attempt = self.attempt
-        if attempt is None:  # an answer that nobody waits for
+        if attempt is None:  # no attempt waits for this response
             self.close()
             return
-        self.heard = True
+        self.response_started = True
         self.framing.feed(data)
         try:
-            reply = self.framing.take()
-            if reply is NO_MESSAGE:
+            response = self.framing.take()
+            if response is NO_MESSAGE:
                 return
-            result = read_reply(attempt, reply)
-        except FramingError:  # the request has run, and where the next answer would begin is not known
+            result = read_response(attempt, response)
+        except FramingError:  # the request was executed, and where the next response begins is unknown
             self.close()
             return
-        except Exception:  # nobody else would end this attempt before its time is up
-            log.exception("an answer could not be read")
+        except Exception:  # without the close, the attempt would last until its timeout
+            log.exception("failed to read a server's response")
             self.close()
             return
         self.attempt = None
-        self.pool.hosts.staleness.note(self.rested, False)
-        if self.framing.buffer:  # more than belongs to this answer: the next would be read from it
+        self.pool.owner.idle_loss.record(self.idle_time, False)
+        if self.framing.buffer:  # bytes behind the response: the next attempt would read them as its own
             self.close()
         else:
-            self.pool.rest(self)
+            self.pool.release(self)
         attempt.end(result)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Called by the event loop when the connection has ended."""
         self.close()
 
     def close(self) -> None:
-        """Ends the connection now: the socket is shut at once, before another attempt can be sent."""
+        """Closes the connection and ends its attempt.
+
+        The socket is shut down at once, before another attempt can be sent.
+        """
         attempt, self.attempt = self.attempt, None
         if self.state is not ServerState.CLOSED:
             self.state = change(self.state, ServerState.CLOSED)
-        self.pool.drop(self)
+        self.pool.discard(self)
         if self.transport is not None and not self.transport.is_closing():
-            with self.borrowed() as sock, contextlib.suppress(OSError):
+            with self.borrow_socket() as sock, contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
             self.transport.abort()
         if attempt is not None:
-            if not self.heard:  # an answer that breaks off shows that the request got there
-                self.pool.hosts.staleness.note(self.rested, True)
+            if not self.response_started:  # a partial response shows that the request reached the server
+                self.pool.owner.idle_loss.record(self.idle_time, True)
             attempt.end("reset" if self.written else "connect_failed")
 
 
-def read_reply(attempt: Attempt, reply: object) -> str:
-    """Fills in what the answer says and tells the outcome. What no host would say is spoilt: it may have run,
-    and serving anything for it would be made up."""
-    if isinstance(reply, list) and attempt.tag is not PROBE_TAG:
-        if len(reply) != 3 or not isinstance(reply[0], bytes) or len(reply[0]) > MOST_BODY:
-            raise FramingError("no value of a host")
-        attempt.value = reply[0]
-        if isinstance(reply[1], int) and 0 <= reply[1] <= MOST_USED:
-            attempt.quota_usage = reply[1]
-        attempt.report = parse_report(reply[2])
+def read_response(attempt: Attempt, response: object) -> str:
+    """Copies a response into its attempt and returns the attempt's result.
+
+    Raises FramingError for a malformed response. The request may have been executed, and no value can be
+    returned for it.
+    """
+    if isinstance(response, list) and attempt.tag is not PROBE_TAG:
+        if len(response) != 3 or not isinstance(response[0], bytes) or len(response[0]) > MOST_BODY:
+            raise FramingError("malformed value in a server's response")
+        attempt.value = response[0]
+        if isinstance(response[1], int) and 0 <= response[1] <= MAX_QUOTA_USAGE:
+            attempt.quota_usage = response[1]
+        attempt.report = parse_report(response[2])
         return "ok"
-    if isinstance(reply, hiredis.ReplyError):
-        words = str(reply).split(" ")
+    if isinstance(response, hiredis.ReplyError):
+        words = str(response).split(" ")
         attempt.report = parse_report(words[-1])
         return "full" if words[0] == "BUSY" else "error"
-    if isinstance(reply, bytes) and attempt.tag is PROBE_TAG:
-        attempt.report = parse_report(reply)
+    if isinstance(response, bytes) and attempt.tag is PROBE_TAG:
+        attempt.report = parse_report(response)
         return "ok"
-    raise FramingError("no answer of a host")
+    raise FramingError("unexpected type of a server's response")
 
 
 class ConnectionPool:
-    """The connections to one host: those that rest, the latest used last, and those that are coming up."""
+    """The connections to one server.
+
+    Attributes:
+        owner: the connections to all servers.
+        address: where the server listens.
+        active: False after `stop`; no attempt starts then.
+        idle: idle connections, the most recently used one last.
+        open_count: established connections, the idle ones among them.
+        connecting: attempts that wait for a new connection, each with the task that connects.
+    """
 
-    def __init__(self, hosts: ServerConnections, address: Address) -> None:
-        self.hosts, self.address, self.up = hosts, address, True
+    def __init__(self, owner: ServerConnections, address: Address) -> None:
+        self.owner = owner
+        self.address = address
+        self.active = True
         self.idle: list[Connection] = []
-        self.open = 0  # connections, those that rest among them
+        self.open_count = 0
         self.connecting: dict[Attempt, asyncio.Task[None]] = {}
 
-    def start(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Writes an attempt on the idle connection used last, or connects for it.
+
+        Connections idle for less than REUSE_DELAY or beyond the idle limit are not used. The attempt ends
+        with "withheld" if it may no longer begin, and with "unsent" if no further connection may be opened.
+        """
         now = monotonic()
-        latest, first = now - REUSE_DELAY, now - self.hosts.staleness.limit
-        for conn in [conn for conn in reversed(self.idle) if first < conn.idle_since <= latest]:
-            if conn.quiet():
-                self.idle.remove(conn)
-                if not conn.start(attempt):
-                    self.idle.append(conn)
+        latest, earliest = now - REUSE_DELAY, now - self.owner.idle_loss.idle_limit
+        for connection in [each for each in reversed(self.idle) if earliest < each.idle_since <= latest]:
+            if connection.is_reusable():
+                self.idle.remove(connection)
+                if not connection.start_attempt(attempt):
+                    self.idle.append(connection)
                     attempt.end("withheld")
                 return
-            conn.close()
-        if not self.hosts.room():
+            connection.close()
+        if not self.owner.ensure_capacity():
             asyncio.get_running_loop().call_soon(attempt.end, "unsent")
             return
         self.connecting[attempt] = asyncio.get_running_loop().create_task(self.connect(attempt))
 
     async def connect(self, attempt: Attempt) -> None:
+        """Opens a connection for an attempt and starts the attempt, if it has not ended meanwhile."""
         loop = asyncio.get_running_loop()
-        conn: Connection | None = None
+        connection: Connection | None = None
         result = "connect_failed"
         try:
-            async with asyncio.timeout(self.hosts.connect_timeout):
-                _, conn = await loop.create_connection(lambda: Connection(self), *self.address)
-        except (OSError, ValueError) as err:  # refused, out of time or descriptors, or no address at all
-            if is_local_error(err):
+            async with asyncio.timeout(self.owner.connect_timeout):
+                _, connection = await loop.create_connection(lambda: Connection(self), *self.address)
+        except (OSError, ValueError) as error:  # refused, timed out, no descriptor, or not an address
+            if is_local_error(error):
                 result = "unsent"
         finally:
             waiting = self.connecting.pop(attempt, None) is not None
-        if conn is not None:
-            self.hosts.conns.add(conn)
-            self.open += 1
-            if waiting and not attempt.result and self.up and not conn.transport.is_closing():
-                if not conn.start(attempt):
-                    self.rest(conn)
+        if connection is not None:
+            self.owner.connections.add(connection)
+            self.open_count += 1
+            if waiting and not attempt.result and self.active and not connection.transport.is_closing():
+                if not connection.start_attempt(attempt):
+                    self.release(connection)
                     attempt.end("withheld")
                 return
-            conn.close()
+            connection.close()
         if waiting:
             attempt.end(result)
 
-    def rest(self, conn: Connection) -> None:
-        if self.up:
-            conn.state = change(conn.state, ServerState.RESTING, self.address)
-            conn.idle_since = monotonic()
-            self.idle.append(conn)
+    def release(self, connection: Connection) -> None:
+        """Marks a connection as idle; closes it if the pool was stopped."""
+        if self.active:
+            connection.state = change(connection.state, ServerState.RESTING, self.address)
+            connection.idle_since = monotonic()
+            self.idle.append(connection)
         else:
-            conn.close()
+            connection.close()
 
-    def drop(self, conn: Connection) -> None:
-        if conn in self.idle:
-            self.idle.remove(conn)
-        if conn in self.hosts.conns:
-            self.hosts.conns.remove(conn)
-            self.open -= 1
+    def discard(self, connection: Connection) -> None:
+        """Forgets a connection that is closing. Calls after the first have no effect."""
+        if connection in self.idle:
+            self.idle.remove(connection)
+        if connection in self.owner.connections:
+            self.owner.connections.remove(connection)
+            self.open_count -= 1
 
     def close_idle(self, before: float = math.inf) -> None:
-        for conn in [c for c in self.idle if c.idle_since < before]:
-            conn.close()
+        """Closes the connections that became idle before a monotonic time; by default all idle ones."""
+        for connection in [each for each in self.idle if each.idle_since < before]:
+            connection.close()
 
     def stop(self) -> None:
-        """Nothing new goes to this address, nor what still waits for a connection to it."""
-        self.up = False
+        """Closes the idle connections and ends the attempts that wait for a connection.
+
+        No further attempt starts at this address. Attempts that were written continue.
+        """
+        self.active = False
         self.close_idle()
         for attempt, task in list(self.connecting.items()):
             del self.connecting[attempt]
@@ -366,106 +455,134 @@
 
 
 class ServerConnections:
-    """Connections to those hosts that this gateway sends to; of the others nothing is kept here. `address_of`
-    tells where a host listens now, and None for one that nothing is to be sent to."""
+    """The connections to all servers that this gateway sends to. Nothing is kept for other servers.
+
+    Args:
+        connect_timeout: seconds; also the timeout of a probe.
+        idle_close: seconds after which the servers close an idle connection.
+        max_connections: limit over all servers, with those that are being established.
+        address_of: returns where a server listens now; None if nothing may be sent to it.
+    """
 
     def __init__(
         self,
         connect_timeout: float,
         idle_close: float,
-        most: int,
+        max_connections: int,
         address_of: Callable[[str], Address | None],
     ) -> None:
-        self.connect_timeout, self.most, self.address_of = connect_timeout, most, address_of
-        self.idle_time = idle_close * (1 - IDLE_MARGIN) - IDLE_CHECK
-        self.staleness = Staleness()  # over all hosts: what drops connections seldom lies at one of them
+        self.connect_timeout = connect_timeout
+        self.max_connections = max_connections
+        self.address_of = address_of
+        self.idle_timeout = idle_close * (1 - IDLE_TIMEOUT_MARGIN) - IDLE_CHECK_INTERVAL
+        # One estimator for all servers: what drops idle connections is rarely specific to one of them.
+        self.idle_loss = IdleLossEstimator()
         self.pools: dict[str, ConnectionPool] = {}
-        self.conns: set[Connection] = set()
-        self.check: asyncio.TimerHandle | None = None
-
-    def pool_for(self, host: str) -> ConnectionPool | None:
-        """The connections to a host; None where nothing is to be sent to it."""
-        pool = self.pools.get(host)
-        if pool is None and (address := self.address_of(host)) is not None:
-            pool = self.pools[host] = ConnectionPool(self, address)
+        self.connections: set[Connection] = set()
+        self.idle_check_timer: asyncio.TimerHandle | None = None
+
+    def pool_for(self, server: str) -> ConnectionPool | None:
+        """Returns the connections to a server; None if nothing may be sent to it."""
+        pool = self.pools.get(server)
+        if pool is None and (address := self.address_of(server)) is not None:
+            pool = self.pools[server] = ConnectionPool(self, address)
         return pool
 
-    def stop_server(self, host: str) -> None:
-        """Nothing new goes to the host, or to where it was until now."""
-        pool = self.pools.pop(host, None)
+    def stop_server(self, server: str) -> None:
+        """Sends nothing more to a server at the address that it has had until now."""
+        pool = self.pools.pop(server, None)
         if pool is not None:
             pool.stop()
 
     def send(self, attempt: Attempt, timeout: float) -> None:
+        """Starts an attempt; it is cancelled with "timeout" after so many seconds."""
         loop = asyncio.get_running_loop()
         pool = self.pool_for(attempt.server)
         if pool is None:
             loop.call_soon(attempt.end, "connect_failed")
             return
         attempt.timer = loop.call_later(timeout, self.cancel_attempt, attempt, "timeout")
-        pool.start(attempt)
+        pool.start_attempt(attempt)
 
-    def probe(self, host: str, done: Callable[[Attempt], None]) -> None:
-        self.send(Attempt(host, lambda attempt: PROBE_COMMAND, done, PROBE_TAG), self.connect_timeout)
+    def probe(self, server: str, on_done: Callable[[Attempt], None]) -> None:
+        """Asks a server for its load report; `on_done` gets the attempt that did it."""
+        self.send(Attempt(server, lambda attempt: PROBE_COMMAND, on_done, PROBE_TAG), self.connect_timeout)
 
     def cancel_attempt(self, attempt: Attempt, result: str) -> None:
-        """Stops waiting. The connection goes too: a late answer must not meet the next request on it."""
+        """Ends an attempt with a result; "connect_failed" if it was not written completely.
+
+        Its connection is closed, because the next attempt on it would read the late response as its own.
+        """
         if attempt.result:
             return
-        conn = attempt.conn
-        if conn is None:
+        connection = attempt.connection
+        if connection is None:
             pool = self.pools.get(attempt.server)
             task = pool.connecting.pop(attempt, None) if pool else None
             if task is not None:
                 task.cancel()
             attempt.end("connect_failed")
             return
-        if not conn.written:
+        if not connection.written:
             result = "connect_failed"
-        conn.attempt = None
-        conn.close()
+        connection.attempt = None
+        connection.close()
         attempt.end(result)
 
     @property
-    def open(self) -> int:
-        """Connections, those that are coming up among them. Counted, not kept: a task that is cancelled
-        before its first step could not take itself off again."""
-        return len(self.conns) + sum(len(pool.connecting) for pool in self.pools.values())
+    def open_count(self) -> int:
+        """The number of connections, with those that are being established.
 
-    def room(self) -> bool:
-        if self.open < self.most:
+        It is computed, not stored: a connecting task that is cancelled before its first step could not
+        subtract itself.
+        """
+        return len(self.connections) + sum(len(pool.connecting) for pool in self.pools.values())
+
+    def ensure_capacity(self) -> bool:
+        """Returns whether another connection may be opened; at the limit, evicts the one idle longest."""
+        if self.open_count < self.max_connections:
             return True
-        oldest = min(
-            (p.idle[0] for p in self.pools.values() if p.idle), key=lambda c: c.idle_since, default=None
+        idle_longest = min(
+            (pool.idle[0] for pool in self.pools.values() if pool.idle),
+            key=lambda connection: connection.idle_since,
+            default=None,
         )
-        if oldest is None:
+        if idle_longest is None:
             return False
-        oldest.close()
+        idle_longest.close()
         return True
 
-    def close_idle(self, host: str) -> None:
-        if host in self.pools:
-            self.pools[host].close_idle()
+    def close_idle(self, server: str) -> None:
+        """Closes the idle connections to a server."""
+        if server in self.pools:
+            self.pools[server].close_idle()
+
+    def close_expired_idle(self) -> None:
+        """Closes connections that have been idle too long, and removes pools without connections.
 
-    def close_stale(self) -> None:
-        """Closes what has rested nearly as long as hosts allow, or so long that it may have been dropped: a
-        request that meets either is reset."""
-        self.staleness.fade(IDLE_CHECK)
-        before = monotonic() - min(self.idle_time, self.staleness.limit)
-        for host, pool in list(self.pools.items()):
+        A request would be reset on a connection that has been idle nearly as long as the servers allow, or so
+        long that something on the path may have dropped it.
+        """
+        self.idle_loss.decay(IDLE_CHECK_INTERVAL)
+        before = monotonic() - min(self.idle_timeout, self.idle_loss.idle_limit)
+        for server, pool in list(self.pools.items()):
             if pool.idle and pool.idle[0].idle_since < before:
                 pool.close_idle(before)
-            if not pool.open and not pool.connecting:
-                del self.pools[host]
+            if not pool.open_count and not pool.connecting:
+                del self.pools[server]
 
     def start_idle_checks(self) -> None:
-        self.close_stale()
-        self.check = asyncio.get_running_loop().call_later(IDLE_CHECK, self.start_idle_checks)
+        """Closes expired idle connections now and at every IDLE_CHECK_INTERVAL."""
+        self.close_expired_idle()
+        self.idle_check_timer = asyncio.get_running_loop().call_later(
+            IDLE_CHECK_INTERVAL, self.start_idle_checks
+        )
 
     def close(self) -> None:
-        if self.check is not None:
-            self.check.cancel()
+        """Stops the checks and closes all connections."""
+        if self.idle_check_timer is not None:
+            self.idle_check_timer.cancel()
         for pool in self.pools.values():
             pool.stop()
-        for conn in list(self.conns):
-            conn.close()
+        for connection in list(self.connections):
+            connection.close()
--- a/tests/test_net_server_connections.py
+++ b/tests/test_net_server_connections.py
@@ -1,4 +1,4 @@
-"""Connections to hosts: attempts, their outcomes, probes, caps."""
+"""Connections to servers: attempts, their results, probes, limits."""
 
 import asyncio
 import gc
@@ -17,8 +17,8 @@
 
 
 @on_loop
-async def test_a_report_that_says_nothing_sound_is_ignored(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+async def test_malformed_load_report_is_ignored(tmp_path):
+    async with StubHost() as server, Node(server, path=tmp_path) as node:
         for n, report in enumerate(
             (
                 b"$-1\r\n",
@@ -33,13 +33,13 @@
                 b"$8\r\nactive=x\r\n",
             )
         ):
-            host.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
+            server.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
             assert await node.ask(command(b"r%d" % n)) == b"$1\r\nv\r\n"
         assert not node.node.module.fleet.reports
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "malformed",
     [
         b"+OK\r\n",
         b"$2\r\nOK\r\n",
@@ -60,54 +60,55 @@
     ],
 )
 @on_loop
-async def test_what_is_no_value_of_a_host_is_not_served(odd, tmp_path):
-    async with StubHost(odd) as host, Node(host, path=tmp_path) as node:
+async def test_malformed_response_of_a_server_is_not_served(malformed, tmp_path):
+    async with StubHost(malformed) as server, Node(server, path=tmp_path) as node:
         began = time.process_time()
         assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
-        assert time.process_time() - began < 0.5  # CPU is rationed; hiredis took over a second for some
-        host.answer = VALUE
+        # CPU time is limited, and hiredis took over a second for some of these responses.
+        assert time.process_time() - began < 0.5
+        server.answer = VALUE
         assert await node.ask(command(b"r2")) == SERVED
-        assert len(host.writers) == 2  # a connection that brought such a thing is of no further use
+        assert len(server.writers) == 2  # the connection with the malformed response was closed
 
 
 @on_loop
-async def test_a_probe_brings_the_load_report(tmp_path):
-    async with StubHost(b"$8\r\nactive=7\r\n") as host, Node(host, path=tmp_path) as node:
+async def test_probe_returns_the_load_report(tmp_path):
+    async with StubHost(b"$8\r\nactive=7\r\n") as server, Node(server, path=tmp_path) as node:
         seen, done = [], asyncio.Event()
 
-        class Watcher:
+        class ProbeRecorder:
             def handle(self, now, event):
                 if isinstance(event, api.Probed):
                     seen.append(event)
                     done.set()
                 return []
 
-        node.node.module = Watcher()
+        node.node.module = ProbeRecorder()
         node.node.probe(api.Probe("h1"))
         await done.wait()
-        assert host.commands == [[b"INFO", b"load"]]
+        assert server.commands == [[b"INFO", b"load"]]
         assert seen[0].result == "ok" and seen[0].report == {"inflight": 7.0}
 
 
 @on_loop
-async def test_a_late_answer_reaches_nobody(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
+async def test_late_response_is_not_delivered_to_a_later_request(tmp_path):
+    async with StubHost(answer=None) as server, Node(server, path=tmp_path) as node:
         assert (await node.ask(write(cls=b"note", d=300))).startswith(b"-ERR")
-        assert await host.arrived.get() and await host.arrived.get() is None  # the connection went too
-        host.writers[0].write(b"*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n")
-        host.answer = VALUE
+        assert await server.arrived.get() and await server.arrived.get() is None  # None: connection closed
+        server.writers[0].write(b"*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n")
+        server.answer = VALUE
         assert await node.ask(command(b"r2")) == SERVED
 
 
 @on_loop
-async def test_a_host_that_breaks_off_may_have_run_an_unsafe_request(tmp_path):
+async def test_unsafe_request_is_not_retried_after_its_connection_closes(tmp_path):
     async with StubHost(b"") as one, StubHost(b"") as two, Node(one, two, path=tmp_path) as node:
         assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
         assert len(one.commands) + len(two.commands) == 1
 
 
 @on_loop
-async def test_a_host_that_turns_away_never_ran_it(tmp_path):
+async def test_unsafe_request_is_retried_after_a_busy_response(tmp_path):
     turns = iter([b"-BUSY active=3\r\n", VALUE])
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         one.answer = two.answer = lambda: next(turns)
@@ -116,155 +117,159 @@
 
 
 @on_loop
-async def test_a_refused_connection_never_ran_it(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        host.server.close()
-        await host.server.wait_closed()
-        assert (await node.ask(write(cls=b"note"))).startswith(b"-BUSY")  # harmless to try again
+async def test_client_gets_busy_after_a_refused_connection(tmp_path):
+    async with StubHost() as server, Node(server, path=tmp_path) as node:
+        server.server.close()
+        await server.server.wait_closed()
+        # The request did not run, so the client may retry.
+        assert (await node.ask(write(cls=b"note"))).startswith(b"-BUSY")
 
 
 @on_loop
-async def test_one_connection_is_used_again_and_closed_before_the_host_would(tmp_path, monkeypatch):
+async def test_idle_connection_is_reused_and_closed_before_the_server_closes_it(tmp_path, monkeypatch):
     monkeypatch.setattr(server_connections, "REUSE_DELAY", 0.0)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubHost() as server, Node(server, path=tmp_path) as node:
         for n in range(3):
             assert await node.ask(command(b"r%d" % n)) == SERVED
-        assert len(host.writers) == 1
-        (conn,) = node.node.hosts.pool_for("h1").idle
-        node.node.hosts.close_stale()
-        assert node.node.hosts.pool_for("h1").idle == [conn]
-        conn.idle_since -= 28.0  # of the 30 s after which the host would close it
-        node.node.hosts.close_stale()
+        assert len(server.writers) == 1
+        (connection,) = node.node.hosts.pool_for("h1").idle
+        node.node.hosts.close_expired_idle()
+        assert node.node.hosts.pool_for("h1").idle == [connection]
+        connection.idle_since -= 28.0  # of the 30 s after which the server would close it
+        node.node.hosts.close_expired_idle()
         assert node.node.hosts.pool_for("h1").idle == []
-        while await host.arrived.get() is not None:
+        while await server.arrived.get() is not None:
             pass
 
 
 @on_loop
-async def test_the_cap_on_connections_holds(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
-        node.node.hosts.most = 2
+async def test_number_of_connections_stays_within_its_limit(tmp_path):
+    async with StubHost(answer=None) as server, Node(server, path=tmp_path) as node:
+        node.node.hosts.max_connections = 2
         node.node.module.fleet.limit = 100.0
-        asked = [asyncio.create_task(node.ask(command(b"r%d" % n, terms=terms(d="500")))) for n in range(6)]
-        await asyncio.gather(*asked)
-        assert len(host.writers) <= 2 * 3 and node.node.hosts.open <= 2
+        tasks = [asyncio.create_task(node.ask(command(b"r%d" % n, terms=terms(d="500")))) for n in range(6)]
+        await asyncio.gather(*tasks)
+        assert len(server.writers) <= 2 * 3 and node.node.hosts.open_count <= 2
 
 
 @on_loop
-async def test_an_attempt_called_off_has_left_the_host_before_the_next_goes_out(tmp_path):
-    """Where second copies are not allowed, one attempt's connection must end before the next is written."""
+async def test_connection_of_a_cancelled_attempt_closes_before_the_next_attempt_is_sent(tmp_path):
+    """Without hedging, the connection of one attempt must close before the next attempt is written."""
     async with StubHost(None) as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
 
-        class Mover:
+        class SwitchingPolicy:
             def handle(self, now, event):
                 if isinstance(event, api.Request):
                     return [api.Send(event.id, "h1")]
                 return [api.Send(event.id, "h2")] if getattr(event, "result", "") == "cancelled" else []
 
-        node.node.module = Mover()
-        asked = asyncio.create_task(node.ask(command()))
+        node.node.module = SwitchingPolicy()
+        task = asyncio.create_task(node.ask(command()))
         await one.arrived.get()
         (attempt,) = node.node.works["r1"].live.values()
-        ended = socket.socket(fileno=os.dup(attempt.conn.descriptor))
+        duplicate_socket = socket.socket(fileno=os.dup(attempt.connection.descriptor))
         node.node.cancel(api.Cancel("r1", 0))
-        with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
-            ended.send(b"x")
-        ended.close()
+        with pytest.raises(OSError):  # the socket was shut down at once, not in a later loop iteration
+            duplicate_socket.send(b"x")
+        duplicate_socket.close()
         assert await one.arrived.get() is None
-        assert await asked == SERVED and len(two.commands) == 1
+        assert await task == SERVED and len(two.commands) == 1
 
 
 @on_loop
-async def test_connects_called_off_before_they_began_take_no_room(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        hosts = node.node.hosts
-        hosts.most = 2
+async def test_cancelled_connects_do_not_count_toward_the_connection_limit(tmp_path):
+    async with StubHost() as server, Node(server, path=tmp_path) as node:
+        connections = node.node.hosts
+        connections.max_connections = 2
         for _ in range(5):
             attempt = Attempt("h1", lambda attempt: command(), lambda attempt: None)
-            hosts.send(attempt, 3.0)
-            hosts.cancel_attempt(attempt, "cancelled")
+            connections.send(attempt, 3.0)
+            connections.cancel_attempt(attempt, "cancelled")
             assert attempt.result == "connect_failed"
         assert await node.ask(command()) == SERVED
-        assert len(host.commands) == 1
+        assert len(server.commands) == 1
 
 
-@pytest.mark.parametrize("together", [True, False])
+@pytest.mark.parametrize("one_packet", [True, False])
 @on_loop
-async def test_what_comes_behind_an_answer_is_never_the_next_one(together, tmp_path):
-    """A second copy may still wait in the socket when the next request is sent off."""
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+async def test_duplicate_response_is_not_taken_for_the_next_response(one_packet, tmp_path):
+    """A duplicate response may still be unread in the socket when the next request is sent."""
+    async with StubHost(None) as server, Node(server, path=tmp_path) as node:
         for n in range(3):
-            asked = asyncio.create_task(node.ask(command(b"a%d" % n)))
-            while not (got := await host.arrived.get()):
+            task = asyncio.create_task(node.ask(command(b"a%d" % n)))
+            while not (arrived := await server.arrived.get()):
                 pass
-            own = b"*3\r\n$2\r\n%s\r\n$-1\r\n$-1\r\n" % got[2]
-            writer = host.writers[-1]
-            if together:
-                writer.write(own + own)
-            else:  # two packets: the gateway reads the first alone
-                writer.write(own)
-                conns = [c for c in node.node.hosts.conns if c.attempt is not None]
-                while any(c.attempt is not None for c in conns):
+            response = b"*3\r\n$2\r\n%s\r\n$-1\r\n$-1\r\n" % arrived[2]
+            writer = server.writers[-1]
+            if one_packet:
+                writer.write(response + response)
+            else:  # two packets, of which the gateway reads the first alone
+                writer.write(response)
+                busy = [c for c in node.node.hosts.connections if c.attempt is not None]
+                while any(c.attempt is not None for c in busy):
                     await asyncio.sleep(0)
-                writer.write(own)
-            assert await asked == b"$2\r\na%d\r\n" % n
+                writer.write(response)
+            assert await task == b"$2\r\na%d\r\n" % n
 
 
 @on_loop
-async def test_a_second_answer_some_milliseconds_late_is_not_the_next_one(tmp_path, monkeypatch):
-    """Nothing is to be read when the next request goes off, and on its connection it would come next."""
+async def test_late_duplicate_response_is_not_taken_for_the_next_response(tmp_path, monkeypatch):
+    """The duplicate arrives only after the next request was written, so a check for unread data misses it."""
     now = time.monotonic()
     monkeypatch.setattr(server_connections, "monotonic", lambda: now)
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with StubHost(None) as server, Node(server, path=tmp_path) as node:
 
         async def ask(name):
-            asked = asyncio.create_task(node.ask(command(name)))
-            while not await host.arrived.get():
+            task = asyncio.create_task(node.ask(command(name)))
+            while not await server.arrived.get():
                 pass
-            return asked
+            return task
 
-        first, second = b"*3\r\n$1\r\na\r\n$-1\r\n$-1\r\n", b"*3\r\n$1\r\nb\r\n$-1\r\n$-1\r\n"
-        asked = await ask(b"a")
-        host.writers[0].write(first)
-        assert await asked == b"$1\r\na\r\n"
+        response_a, response_b = b"*3\r\n$1\r\na\r\n$-1\r\n$-1\r\n", b"*3\r\n$1\r\nb\r\n$-1\r\n$-1\r\n"
+        task = await ask(b"a")
+        server.writers[0].write(response_a)
+        assert await task == b"$1\r\na\r\n"
         now += 0.005
-        asked = await ask(b"b")
-        host.writers[0].write(first)
-        host.writers[-1].write(second)
-        assert await asked == b"$1\r\nb\r\n"
+        task = await ask(b"b")
+        server.writers[0].write(response_a)
+        server.writers[-1].write(response_b)
+        assert await task == b"$1\r\nb\r\n"
 
 
 @on_loop
-async def test_a_connection_is_looked_at_before_it_is_used_again(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+async def test_connection_with_unread_data_is_not_reused(tmp_path):
+    async with StubHost() as server, Node(server, path=tmp_path) as node:
         assert await node.ask(command(b"a")) == SERVED
         pool = node.node.hosts.pool_for("h1")
-        (conn,) = pool.idle
-        conn.idle_since -= 1.0
-        assert conn.quiet()
-        conn.transport.pause_reading()  # as if the loop had not come round to it
-        host.writers[0].write(b"*3\r\n$5\r\nother\r\n$-1\r\n$-1\r\n")
-        await host.writers[0].drain()
-        while conn.quiet():
+        (connection,) = pool.idle
+        connection.idle_since -= 1.0
+        assert connection.is_reusable()
+        connection.transport.pause_reading()  # as if the event loop had not read it yet
+        server.writers[0].write(b"*3\r\n$5\r\nother\r\n$-1\r\n$-1\r\n")
+        await server.writers[0].drain()
+        while connection.is_reusable():
             await asyncio.sleep(0)
         assert await node.ask(command(b"b")) == SERVED
-        assert len(host.writers) == 2 and conn not in node.node.hosts.conns
+        assert len(server.writers) == 2 and connection not in node.node.hosts.connections
 
 
 @on_loop
-async def test_an_answer_that_cannot_be_handled_ends_its_attempt(tmp_path, monkeypatch):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+async def test_exception_while_reading_a_response_ends_the_attempt(tmp_path, monkeypatch):
+    async with StubHost() as server, Node(server, path=tmp_path) as node:
         with monkeypatch.context() as patch:
-            patch.setattr("calicomast.net.server_connections.read_reply", lambda *_: 1 / 0)
+            patch.setattr("calicomast.net.server_connections.read_response", lambda *_: 1 / 0)
             assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
-        assert not node.node.hosts.conns
+        assert not node.node.hosts.connections
         assert await node.ask(command(b"r2")) == SERVED
 
 
 @on_loop
-async def test_a_connection_that_is_dropped_does_not_close_a_descriptor_by_itself(tmp_path):
-    """uvloop drops a transport whose connect is called off without a connection_lost."""
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+async def test_garbage_collected_connection_does_not_close_a_descriptor(tmp_path):
+    """uvloop drops the transport of a cancelled connect without calling connection_lost.
+
+    A socket object that the connection kept would then close a descriptor that is in use again.
+    """
+    async with StubHost() as server, Node(server, path=tmp_path) as node:
         ours, theirs = socket.socketpair()
 
         class Transport(asyncio.Transport):
@@ -274,10 +279,10 @@
             def is_closing(self):
                 return False
 
-        conn = server_connections.Connection(node.node.hosts.pool_for("h1"))
-        conn.connection_made(Transport({"socket": ours}))
-        assert conn.quiet()
-        del conn
+        connection = server_connections.Connection(node.node.hosts.pool_for("h1"))
+        connection.connection_made(Transport({"socket": ours}))
+        assert connection.is_reusable()
+        del connection
         gc.collect()
         theirs.send(b"x")
         assert ours.recv(1) == b"x"
@@ -285,17 +290,20 @@
         theirs.close()
 
 
-class Forgetful(StubHost):
-    """Behind something that drops connections at rest: the second request on one is reset while `dropped`."""
+class IdleResettingServer(StubHost):
+    """A server behind a device that drops idle connections.
+
+    While `dropping`, the second request on a connection is reset. `connections_made` counts its connections.
+    """
 
     def __init__(self):
         super().__init__()
-        self.dropped, self.made = True, 0
+        self.dropping, self.connections_made = True, 0
 
     async def serve(self, reader, writer):
-        self.made += 1
+        self.connections_made += 1
         while data := await reader.read(65536):
-            if data and self.dropped and writer in self.used:
+            if data and self.dropping and writer in self.used:
                 writer.transport.abort()
                 return
             self.used.add(writer)
@@ -307,128 +315,135 @@
 
 
 @on_loop
-async def test_connections_that_are_lost_after_a_rest_are_no_longer_used_after_it(tmp_path):
-    async with Forgetful() as host, Node(host, path=tmp_path) as node:
+async def test_connections_are_not_reused_after_an_idle_time_that_leads_to_resets(tmp_path):
+    async with IdleResettingServer() as server, Node(server, path=tmp_path) as node:
 
-        async def ask(n, rest):
-            """A request once the host's connections have rested so long."""
+        async def ask(n, idle_time):
+            """Sends a request after the idle connections have been idle for so many seconds."""
             for pool in node.node.hosts.pools.values():
-                for conn in pool.idle:
-                    conn.idle_since = time.monotonic() - rest
+                for connection in pool.idle:
+                    connection.idle_since = time.monotonic() - idle_time
             return await node.ask(command(b"r%d" % n))
 
         replies = [await ask(n, 1.0) for n in range(40)]
         assert replies.count(SERVED) >= 34 and replies[-20:] == [SERVED] * 20
-        host.dropped, made = False, host.made
+        server.dropping, made_before = False, server.connections_made
         assert [await ask(n, 0.05) for n in range(50, 60)] == [SERVED] * 10
-        assert host.made <= made + 1  # those that rested for less are used on
+        # Connections that were idle for less are still reused.
+        assert server.connections_made <= made_before + 1
 
 
-def test_resets_that_come_by_chance_close_no_connections():
-    staleness = server_connections.Staleness()
+def test_random_resets_set_no_idle_limit():
+    estimator = server_connections.IdleLossEstimator()
     for n in range(400):
         lost = n % 11 == 0
-        staleness.note(0.0, lost)
-        staleness.note(0.03 * (1 + n % 60), lost)
-    assert staleness.limit == math.inf
+        estimator.record(0.0, lost)
+        estimator.record(0.03 * (1 + n % 60), lost)
+    assert estimator.idle_limit == math.inf
 
 
-def test_a_limit_of_rest_is_tried_again_in_time():
-    staleness = server_connections.Staleness()
+def test_idle_limit_expires_as_the_counts_decay():
+    estimator = server_connections.IdleLossEstimator()
     for n in range(60):
-        staleness.note(0.3, False)
-        staleness.note(0.9 + n % 5, n % 2 == 0)
-    assert 0.3 < staleness.limit < 0.9
-    staleness.fade(300.0)
-    assert staleness.limit == math.inf  # tried again in time
+        estimator.record(0.3, False)
+        estimator.record(0.9 + n % 5, n % 2 == 0)
+    assert 0.3 < estimator.idle_limit < 0.9
+    estimator.decay(300.0)
+    assert estimator.idle_limit == math.inf
 
 
-class RawHost:
-    """A host at the level of its sockets. `arrived` gets each connection that the gateway opens to it."""
+class RawServer:
+    """A server that the test drives by its sockets.
 
-    def __init__(self, receive=None):
+    Args:
+        receive_buffer: bytes of the receive buffer; the system's default if it is None.
+    """
+
+    def __init__(self, receive_buffer=None):
         self.listener = socket.create_server(("127.0.0.1", 0))
-        if receive:
-            self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
+        if receive_buffer:
+            self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         self.listener.setblocking(False)
         self.port = self.listener.getsockname()[1]
 
     async def accept(self):
-        conn, _ = await asyncio.get_running_loop().sock_accept(self.listener)
-        return conn
+        connection, _ = await asyncio.get_running_loop().sock_accept(self.listener)
+        return connection
 
     @staticmethod
-    def reset(conn):
-        conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        conn.close()
+    def reset(connection):
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        connection.close()
 
 
-def first(name):
-    """A module's part: each request goes to `name`, and to the other host where it surely never ran."""
+def policy_sending_first_to(server):
+    """Returns a policy that sends each request to `server`, and to h2 after an attempt that never ran."""
 
-    class Module:
+    class RecordingPolicy:
         results = []
 
         def handle(self, now, event):
             if isinstance(event, api.Request):
-                return [api.Send(event.id, name)]
+                return [api.Send(event.id, server)]
             if isinstance(event, api.Outcome) and not event.final:
                 self.results.append(event.result)
-                never = event.result in ("connect_failed", "full")
-                return [api.Send(event.id, "h2") if never else api.Fail(event.id)]
+                not_run = event.result in ("connect_failed", "full")
+                return [api.Send(event.id, "h2") if not_run else api.Fail(event.id)]
             return []
 
-    return Module()
+    return RecordingPolicy()
 
 
 @on_loop
-async def test_a_reset_between_the_look_and_the_write_never_ran(tmp_path, monkeypatch):
+async def test_reset_between_the_reuse_check_and_the_write_counts_as_not_sent(tmp_path, monkeypatch):
     monkeypatch.setattr(server_connections, "REUSE_DELAY", 0.0)
-    raw, loop = RawHost(), asyncio.get_running_loop()
-    async with StubHost() as other, Node(raw, other, path=tmp_path) as node:
-        node.node.module = module = first("h1")
-        asked = asyncio.create_task(node.ask(command(b"a")))
-        conn = await raw.accept()
-        await loop.sock_recv(conn, 65536)
-        await loop.sock_sendall(conn, VALUE)
-        assert await asked == SERVED
-        look = server_connections.Connection.quiet
-
-        def crossed(self):
-            quiet = look(self)
-            raw.reset(conn)
-            return quiet
-
-        monkeypatch.setattr(server_connections.Connection, "quiet", crossed)
+    raw_server, loop = RawServer(), asyncio.get_running_loop()
+    async with StubHost() as other, Node(raw_server, other, path=tmp_path) as node:
+        node.node.module = policy = policy_sending_first_to("h1")
+        task = asyncio.create_task(node.ask(command(b"a")))
+        connection = await raw_server.accept()
+        await loop.sock_recv(connection, 65536)
+        await loop.sock_sendall(connection, VALUE)
+        assert await task == SERVED
+        original = server_connections.Connection.is_reusable
+
+        def reset_after_check(self):
+            reusable = original(self)
+            raw_server.reset(connection)
+            return reusable
+
+        monkeypatch.setattr(server_connections.Connection, "is_reusable", reset_after_check)
         assert await node.ask(write(cls=b"note")) == SERVED
-        assert module.results == ["connect_failed"] and len(other.commands) == 1
+        assert policy.results == ["connect_failed"] and len(other.commands) == 1
 
 
 @pytest.mark.parametrize(
     "read, result, answer", [(False, "connect_failed", SERVED), (True, "reset", b"-ERR failed\r\n")]
 )
 @on_loop
-async def test_a_request_may_have_run_from_its_last_byte_on(read, result, answer, tmp_path, monkeypatch):
-    made = server_connections.Connection.connection_made
-
-    def narrow(self, transport):
-        made(self, transport)
-        with self.borrowed() as sock:
+async def test_request_counts_as_possibly_executed_once_its_last_byte_is_written(
+    read, result, answer, tmp_path, monkeypatch
+):
+    original = server_connections.Connection.connection_made
+
+    def with_small_send_buffer(self, transport):
+        original(self, transport)
+        with self.borrow_socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
-    monkeypatch.setattr(server_connections.Connection, "connection_made", narrow)
-    raw, loop = RawHost(receive=4096), asyncio.get_running_loop()
-    async with StubHost() as other, Node(raw, other, path=tmp_path) as node:
-        node.node.module = module = first("h1")
+    monkeypatch.setattr(server_connections.Connection, "connection_made", with_small_send_buffer)
+    raw_server, loop = RawServer(receive_buffer=4096), asyncio.get_running_loop()
+    async with StubHost() as other, Node(raw_server, other, path=tmp_path) as node:
+        node.node.module = policy = policy_sending_first_to("h1")
         terms = b"c=note,t=p,d=3000,units=1,spread=1,first=0"
-        asked = asyncio.create_task(node.ask(command(b"r1", terms, b"API.WRITE", body=b"x" * 60_000)))
-        conn, got = await raw.accept(), b""
-        while not node.node.hosts.conns or all(c.written for c in node.node.hosts.conns):
-            await asyncio.sleep(0)  # until a part of it is out
+        task = asyncio.create_task(node.ask(command(b"r1", terms, b"API.WRITE", body=b"x" * 60_000)))
+        connection, got = await raw_server.accept(), b""
+        while not node.node.hosts.connections or all(c.written for c in node.node.hosts.connections):
+            await asyncio.sleep(0)  # until a part of it is written
         while read and not got.endswith(b"x" * 60 + b"\r\n"):
-            got += await loop.sock_recv(conn, 65536)
-        while read and not all(c.written for c in node.node.hosts.conns):
+            got += await loop.sock_recv(connection, 65536)
+        while read and not all(c.written for c in node.node.hosts.connections):
             await asyncio.sleep(0)
-        raw.reset(conn)
-        assert await asked == answer
-        assert module.results == [result] and len(other.commands) == (not read)
+        raw_server.reset(connection)
+        assert await task == answer
+        assert policy.results == [result] and len(other.commands) == (not read)
