--- a/tests/test_net_server_connections.py
+++ b/tests/test_net_server_connections.py
@@ -301,6 +301,7 @@
         self.dropping, self.connections_made = True, 0
 
     async def serve(self, reader, writer):
+        """Answers the requests of one connection; resets its second one while `dropping`."""
         self.connections_made += 1
         while data := await reader.read(65536):
             if data and self.dropping and writer in self.used:
@@ -367,11 +368,13 @@
         self.port = self.listener.getsockname()[1]
 
     async def accept(self):
+        """Accepts the next connection of the gateway."""
         connection, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         return connection
 
     @staticmethod
     def reset(connection):
+        """Closes a connection with a TCP reset."""
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         connection.close()
 
