--- a/calicomast/net/counter.py
+++ b/calicomast/net/counter.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from time import monotonic
 
-from calicomast.net.listing import Address
+from calicomast.net.server_list import Address
 
 CONNECTION_COUNT = 4  # several, so that a slow partition of the counter does not delay the other names
 KEEP_ALIVE_INTERVAL = 2.0  # seconds without a call, after which a `ping`, which is free, keeps the connection
--- a/calicomast/net/server_connections.py
+++ b/calicomast/net/server_connections.py
@@ -19,11 +19,11 @@
 
 import hiredis
 
-from calicomast.net.framing import MOST_BODY, NO_MESSAGE, Framing, FramingError
-from calicomast.net.lifecycle import AttemptState, ServerState, change
-from calicomast.net.listing import Address
+from calicomast.net.framing import MAX_BODY_BYTES, NO_MESSAGE, FramingError, MessageFramer
+from calicomast.net.lifecycle import AttemptState, ServerConnectionState, transition
 from calicomast.net.local_errors import is_local_error
-from calicomast.settings import read_report
+from calicomast.net.server_list import Address
+from calicomast.settings import read_load_report
 
 REUSE_DELAY = 0.02  # seconds after a response; a duplicate of it can arrive some milliseconds late
 IDLE_TIMEOUT_MARGIN = 0.1  # fraction of the servers' idle timeout by which the gateway closes earlier
@@ -54,7 +54,7 @@
         on_done: called once with the attempt, when `result` is set.
         tag: a value of the caller, or PROBE_TAG.
         started_at: monotonic time at which the attempt was created.
-        result: one of interface.RESULTS; empty until the attempt has ended.
+        result: one of interface.ATTEMPT_RESULTS; empty until the attempt has ended.
         value: the value that the server returned.
         quota_usage: the server's figure: 1 + percent of the tenant's rate used in the last metered period;
             0 if there is none.
@@ -117,7 +117,7 @@
         if self.result:
             return
         self.result = result
-        self.state = change(self.state, AttemptState.ENDED, self.server)
+        self.state = transition(self.state, AttemptState.ENDED, self.server)
         if self.timer is not None:
             self.timer.cancel()
         self.on_done(self)
@@ -134,7 +134,7 @@
         text = text.decode("utf-8", "replace")
     if not isinstance(text, str) or not REPORT_PATTERN.fullmatch(text):
         return {}
-    report = read_report(pair.split("=", 1) for pair in text.rstrip(",").split(","))
+    report = read_load_report(pair.split("=", 1) for pair in text.rstrip(",").split(","))
     return report if all(value <= MAX_LOAD for value in report.values()) else {}
 
 
@@ -205,8 +205,8 @@
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
-        self.framing = Framing()
-        self.state = ServerState.CONNECTING
+        self.framing = MessageFramer()
+        self.state = ServerConnectionState.CONNECTING
         self.attempt: Attempt | None = None
         self.written = True
         self.idle_since = 0.0
@@ -268,8 +268,8 @@
         command = attempt.build_command(attempt)
         if command is None:
             return False
-        self.state = change(self.state, ServerState.BUSY, attempt.server)
-        attempt.state = change(attempt.state, AttemptState.RUNNING, attempt.server)
+        self.state = transition(self.state, ServerConnectionState.BUSY, attempt.server)
+        attempt.state = transition(attempt.state, AttemptState.RUNNING, attempt.server)
         self.attempt, attempt.connection = attempt, self
         self.idle_time = monotonic() - self.idle_since if self.idle_since else 0.0
         self.response_started = False
@@ -287,7 +287,7 @@
         self.response_started = True
         self.framing.feed(data)
         try:
-            response = self.framing.take()
+            response = self.framing.next_message()
             if response is NO_MESSAGE:
                 return
             result = read_response(attempt, response)
@@ -316,8 +316,8 @@
         The socket is shut down at once, before another attempt can be sent.
         """
         attempt, self.attempt = self.attempt, None
-        if self.state is not ServerState.CLOSED:
-            self.state = change(self.state, ServerState.CLOSED)
+        if self.state is not ServerConnectionState.CLOSED:
+            self.state = transition(self.state, ServerConnectionState.CLOSED)
         self.pool.discard(self)
         if self.transport is not None and not self.transport.is_closing():
             with self.borrow_socket() as sock, contextlib.suppress(OSError):
@@ -336,7 +336,7 @@
     returned for it.
     """
     if isinstance(response, list) and attempt.tag is not PROBE_TAG:
-        if len(response) != 3 or not isinstance(response[0], bytes) or len(response[0]) > MOST_BODY:
+        if len(response) != 3 or not isinstance(response[0], bytes) or len(response[0]) > MAX_BODY_BYTES:
             raise FramingError("malformed value in a server's response")
         attempt.value = response[0]
         if isinstance(response[1], int) and 0 <= response[1] <= MAX_QUOTA_USAGE:
@@ -422,7 +422,7 @@
     def release(self, connection: Connection) -> None:
         """Marks a connection as idle; closes it if the pool was stopped."""
         if self.active:
-            connection.state = change(connection.state, ServerState.RESTING, self.address)
+            connection.state = transition(connection.state, ServerConnectionState.IDLE, self.address)
             connection.idle_since = monotonic()
             self.idle.append(connection)
         else:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,16 +12,16 @@
 
 import pytest
 from netkit import (
-    SERVED,
+    CLIENT_REPLY,
     StubCounter,
     StubDiscovery,
-    StubHost,
+    StubServer,
     command,
-    entry,
+    gateway_config,
     on_loop,
+    propagated_deadline_ms,
     read_reply,
-    time_told,
-    told,
+    server_entry,
 )
 from test_net_process import PROGRAM
 
@@ -41,7 +41,7 @@
 
     def __init__(self, shim, path, settings=None):
         self.faults, self.path, self.settings = Faults(shim, path / "faults"), path, settings
-        self.server, self.counter, self.discovery = StubHost(), StubCounter(), StubDiscovery()
+        self.server, self.counter, self.discovery = StubServer(), StubCounter(), StubDiscovery()
 
     async def __aenter__(self):
         await self.start()
@@ -55,9 +55,11 @@
         self.stack = contextlib.AsyncExitStack()
         for stub in (self.server, self.counter, self.discovery):
             await self.stack.enter_async_context(stub)
-        self.discovery.servers = [entry(self.server)]
+        self.discovery.servers = [server_entry(self.server)]
         config_file = self.path / "config.json"
-        configuration = told(self.discovery.servers, self.discovery.port, self.counter.port, self.settings)
+        configuration = gateway_config(
+            self.discovery.servers, self.discovery.port, self.counter.port, self.settings
+        )
         config_file.write_text(json.dumps(configuration))
         self.process = await asyncio.create_subprocess_exec(
             *PROGRAM,
@@ -95,7 +97,7 @@
     async with FaultyGateway(shim, tmp_path) as gateway:
         reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
         writer.write(command(b"first"))
-        assert await read_reply(reader) == SERVED  # the gateway has accepted this connection
+        assert await read_reply(reader) == CLIENT_REPLY  # the gateway has accepted this connection
         for error in ACCEPT_ERRORS:
             failed = gateway.faults[Field.ACCEPT_FAILED]
             gateway.faults.fail_accept(error)
@@ -103,10 +105,10 @@
             await gateway.wait_for_failures(Field.ACCEPT_FAILED, failed + 1)
             for n in range(20):
                 writer.write(command(b"r%d-%d" % (n, error)))
-                assert await read_reply(reader) == SERVED  # while accept still fails
+                assert await read_reply(reader) == CLIENT_REPLY  # while accept still fails
             assert gateway.faults[Field.ACCEPT_FAILED] - failed < MAX_FAILED_ACCEPTS
             gateway.faults.fail_accept(error, every=2)  # the call after a failed one may succeed
-            assert await asyncio.gather(*waiting) == [SERVED] * 8
+            assert await asyncio.gather(*waiting) == [CLIENT_REPLY] * 8
             gateway.faults.fail_accept(0)
         writer.close()
 
@@ -122,8 +124,8 @@
         await asyncio.sleep(0.5)
         waited = time.monotonic() - sent_at  # the request cannot have been read earlier
         gateway.faults.fail_accept(0)
-        assert await read_reply(reader) == SERVED
-        assert time_told(gateway.server) <= 3000 - 1000 * waited + 150
+        assert await read_reply(reader) == CLIENT_REPLY
+        assert propagated_deadline_ms(gateway.server) <= 3000 - 1000 * waited + 150
         writer.close()
 
 
@@ -145,7 +147,7 @@
             tasks = [asyncio.create_task(gateway.ask(b"r%d-%d" % (n, error))) for n in range(5)]
             await gateway.wait_for_failures(Field.CONNECT_FAILED, failed + 3)
             gateway.faults.fail_connect(0)
-            assert await asyncio.gather(*tasks) == [SERVED] * 5
+            assert await asyncio.gather(*tasks) == [CLIENT_REPLY] * 5
             for writer in gateway.server.writers:  # so that the next attempts have to connect again
                 writer.close()
 
@@ -159,7 +161,7 @@
     gateway.faults.fail_socket(0)
     await startup
     try:
-        assert await gateway.ask(b"r1") == SERVED
+        assert await gateway.ask(b"r1") == CLIENT_REPLY
     finally:
         await gateway.__aexit__()
 
@@ -170,7 +172,7 @@
     async with FaultyGateway(shim, tmp_path) as gateway:
         reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
         writer.write(command(b"first"))
-        assert await read_reply(reader) == SERVED
+        assert await read_reply(reader) == CLIENT_REPLY
         pid, (soft, hard) = gateway.process.pid, resource.prlimit(gateway.process.pid, resource.RLIMIT_NOFILE)
         gateway.server.writers.pop().close()  # the next attempt has to open a connection
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (3, hard))
@@ -179,6 +181,6 @@
         await asyncio.sleep(0.3)
         assert not any(task.done() for task in waiting)
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (soft, hard))
-        assert await asyncio.gather(*waiting) == [SERVED] * 5
-        assert await read_reply(reader) == SERVED
+        assert await asyncio.gather(*waiting) == [CLIENT_REPLY] * 5
+        assert await read_reply(reader) == CLIENT_REPLY
         writer.close()
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -3,7 +3,16 @@
 import asyncio
 
 import pytest
-from netkit import SERVED, SETTINGS, Node, StubCounter, StubHost, command, on_loop, terms
+from netkit import (
+    CLIENT_REPLY,
+    SETTINGS,
+    GatewayHarness,
+    StubCounter,
+    StubServer,
+    command,
+    command_fields,
+    on_loop,
+)
 
 from calicomast.net import counter as counter_module
 from calicomast.net.counter import CONNECTION_COUNT
@@ -11,8 +20,8 @@
 
 @on_loop
 async def test_late_response_is_matched_to_the_call_that_timed_out(tmp_path):
-    async with StubHost() as server, Node(server, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+        counter, results = node.service.counter, asyncio.Queue()
 
         def add(amount):
             counter.add(8, amount, 4, lambda name, *outcome: results.put_nowait(outcome[:2]))
@@ -31,8 +40,8 @@
 
 @on_loop
 async def test_client_reconnects_and_reports_calls_that_were_not_written(tmp_path):
-    async with StubHost() as server, Node(server, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+        counter, results = node.service.counter, asyncio.Queue()
 
         def add():
             counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
@@ -53,7 +62,9 @@
         add()
         assert await results.get() == "connect_failed"
         node.counter.silent = False
-        node.counter.server = await asyncio.start_server(node.counter.joined, "127.0.0.1", node.counter.port)
+        node.counter.server = await asyncio.start_server(
+            node.counter.handle_connection, "127.0.0.1", node.counter.port
+        )
         while counter.connections[0].transport is None:
             await asyncio.sleep(0.01)
         add()
@@ -66,8 +77,8 @@
 )
 @on_loop
 async def test_malformed_response_closes_only_its_connection(malformed, tmp_path):
-    async with StubHost() as server, Node(server, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+        counter, results = node.service.counter, asyncio.Queue()
         while counter.connections[0].transport is None:
             await asyncio.sleep(0)
         old_transport, node.counter.silent = counter.connections[0].transport, True
@@ -78,13 +89,13 @@
         assert await results.get() == "spoilt"
         while counter.connections[0].transport in (None, old_transport):
             await asyncio.sleep(0.01)
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
 
 
 @on_loop
 async def test_calls_to_an_old_address_are_answered_before_its_connections_close(tmp_path):
-    async with StubCounter() as new, StubHost() as server, Node(server, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubCounter() as new, StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+        counter, results = node.service.counter, asyncio.Queue()
 
         def add(amount):
             counter.add(8, amount, 4, lambda name, *outcome: results.put_nowait(outcome[:2]))
@@ -113,8 +124,8 @@
 
 @on_loop
 async def test_another_connection_is_used_while_one_reconnects(tmp_path):
-    async with StubHost() as server, Node(server, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+        counter, results = node.service.counter, asyncio.Queue()
 
         def add():
             counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait((result, total)))
@@ -124,7 +135,7 @@
         node.counter.silent = True
         add()
         await node.counter.arrived.get()
-        ((writer, _),) = node.counter.held
+        ((writer, _),) = node.counter.held_replies
         writer.write(b"ok {}\r\n")
         assert (await results.get())[0] == "spoilt"  # it was added, but the total is unknown
         node.counter.silent = False
@@ -136,39 +147,39 @@
 async def test_rounded_totals_are_not_taken_for_lost_counts(tmp_path):
     """Amounts and totals have seven digits on the wire. A rounding difference is not a lost count."""
     small_plan = {**SETTINGS, "plans": [{"name": "p", "rate": 1.0, "most_at_once": 40.0}]}
-    async with StubHost() as server, Node(server, path=tmp_path, settings=small_plan) as node:
-        while any(connection.transport is None for connection in node.node.counter.connections):
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path, settings=small_plan) as node:
+        while any(connection.transport is None for connection in node.service.counter.connections):
             await asyncio.sleep(0)
-        await node.ask(command())
-        (tenant_quota,) = node.node.module.accounts.values()
+        await node.send_command(command())
+        (tenant_quota,) = node.service.policy.tenant_quotas.values()
         # Early in a window, at whatever time the test runs.
-        now = tenant_quota.start + tenant_quota.length + 1.0
-        node.node.clock = lambda: now
-        await node.ask(command(b"r"))
+        now = tenant_quota.window_start + tenant_quota.window_length + 1.0
+        node.service.clock = lambda: now
+        await node.send_command(command(b"r"))
         # An overdraft of the last window, carried over once the first call is answered.
         tenant_quota.debt = 10 / 3
-        replies = [await node.ask(command(b"r%d" % n)) for n in range(90)]
+        replies = [await node.send_command(command(b"r%d" % n)) for n in range(90)]
         assert len(node.counter.calls) > 3
-        assert max(node.counter.totals.values()) < 6 + 1.1 * replies.count(SERVED)
+        assert max(node.counter.totals.values()) < 6 + 1.1 * replies.count(CLIENT_REPLY)
 
 
 @on_loop
 async def test_tenant_keeps_its_recent_share_here_while_the_counter_is_down(tmp_path):
     two_gateways = {**SETTINGS, "group_size": 2, "plans": [{"name": "p", "rate": 10.0, "most_at_once": 20.0}]}
-    async with StubHost() as server, Node(server, path=tmp_path, settings=two_gateways) as node:
-        connections = node.node.counter.connections
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path, settings=two_gateways) as node:
+        connections = node.service.counter.connections
         while any(connection.transport is None for connection in connections):
             await asyncio.sleep(0)
 
         async def ask(n):
-            return (await node.ask(command(b"r%d" % n, terms(spread=2)))) == SERVED
+            return (await node.send_command(command(b"r%d" % n, command_fields(spread=2)))) == CLIENT_REPLY
 
         await ask(1)
-        (tenant_quota,) = node.node.module.accounts.values()
+        (tenant_quota,) = node.service.policy.tenant_quotas.values()
         # At the same offset in its windows, at whatever time the test runs.
-        now = tenant_quota.start + tenant_quota.length + 0.5
+        now = tenant_quota.window_start + tenant_quota.window_length + 0.5
         for window in range(4):  # this gateway alone uses all that the counter reports, though two share it
-            node.node.clock = lambda at=now + 2 * window: at
+            node.service.clock = lambda at=now + 2 * window: at
             for n in range(14):
                 await ask(100 * window + n)
         node.counter.server.close()
@@ -176,15 +187,15 @@
             writer.transport.abort()
         while any(connection.transport for connection in connections):
             await asyncio.sleep(0)
-        node.node.clock = lambda: now + 20
+        node.service.clock = lambda: now + 20
         assert sum([await ask(1000 + n) for n in range(20)]) > 15
 
 
 @on_loop
 async def test_silence_timeout_is_not_shorter_than_the_call_timeout(tmp_path):
     long_timeout = SETTINGS | {"specifics": SETTINGS["specifics"] | {"counter_timeout": 2_000_000_000}}
-    async with StubHost() as server, Node(server, path=tmp_path, settings=long_timeout) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path, settings=long_timeout) as node:
+        counter, results = node.service.counter, asyncio.Queue()
         while counter.connections[0].transport is None:
             await asyncio.sleep(0)
         node.counter.silent = True
--- a/tests/test_net_server_connections.py
+++ b/tests/test_net_server_connections.py
@@ -9,7 +9,16 @@
 import time
 
 import pytest
-from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, terms, write
+from netkit import (
+    CLIENT_REPLY,
+    SERVER_REPLY,
+    GatewayHarness,
+    StubServer,
+    command,
+    command_fields,
+    on_loop,
+    write_command,
+)
 
 from calicomast import interface as api
 from calicomast.net import server_connections
@@ -18,7 +27,7 @@
 
 @on_loop
 async def test_malformed_load_report_is_ignored(tmp_path):
-    async with StubHost() as server, Node(server, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
         for n, report in enumerate(
             (
                 b"$-1\r\n",
@@ -34,8 +43,8 @@
             )
         ):
             server.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
-            assert await node.ask(command(b"r%d" % n)) == b"$1\r\nv\r\n"
-        assert not node.node.module.fleet.reports
+            assert await node.send_command(command(b"r%d" % n)) == b"$1\r\nv\r\n"
+        assert not node.service.policy.balancer.has_load_reports
 
 
 @pytest.mark.parametrize(
@@ -61,30 +70,30 @@
 )
 @on_loop
 async def test_malformed_response_of_a_server_is_not_served(malformed, tmp_path):
-    async with StubHost(malformed) as server, Node(server, path=tmp_path) as node:
+    async with StubServer(malformed) as server, GatewayHarness(server, path=tmp_path) as node:
         began = time.process_time()
-        assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
+        assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
         # CPU time is limited, and hiredis took over a second for some of these responses.
         assert time.process_time() - began < 0.5
-        server.answer = VALUE
-        assert await node.ask(command(b"r2")) == SERVED
+        server.answer = SERVER_REPLY
+        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
         assert len(server.writers) == 2  # the connection with the malformed response was closed
 
 
 @on_loop
 async def test_probe_returns_the_load_report(tmp_path):
-    async with StubHost(b"$8\r\nactive=7\r\n") as server, Node(server, path=tmp_path) as node:
+    async with StubServer(b"$8\r\nactive=7\r\n") as server, GatewayHarness(server, path=tmp_path) as node:
         seen, done = [], asyncio.Event()
 
         class ProbeRecorder:
             def handle(self, now, event):
-                if isinstance(event, api.Probed):
+                if isinstance(event, api.ProbeResult):
                     seen.append(event)
                     done.set()
                 return []
 
-        node.node.module = ProbeRecorder()
-        node.node.probe(api.Probe("h1"))
+        node.service.policy = ProbeRecorder()
+        node.service.probe(api.Probe("h1"))
         await done.wait()
         assert server.commands == [[b"INFO", b"load"]]
         assert seen[0].result == "ok" and seen[0].report == {"inflight": 7.0}
@@ -92,70 +101,77 @@
 
 @on_loop
 async def test_late_response_is_not_delivered_to_a_later_request(tmp_path):
-    async with StubHost(answer=None) as server, Node(server, path=tmp_path) as node:
-        assert (await node.ask(write(cls=b"note", d=300))).startswith(b"-ERR")
+    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as node:
+        assert (await node.send_command(write_command(cls=b"note", d=300))).startswith(b"-ERR")
         assert await server.arrived.get() and await server.arrived.get() is None  # None: connection closed
         server.writers[0].write(b"*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n")
-        server.answer = VALUE
-        assert await node.ask(command(b"r2")) == SERVED
+        server.answer = SERVER_REPLY
+        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
 async def test_unsafe_request_is_not_retried_after_its_connection_closes(tmp_path):
-    async with StubHost(b"") as one, StubHost(b"") as two, Node(one, two, path=tmp_path) as node:
-        assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
+    async with (
+        StubServer(b"") as one,
+        StubServer(b"") as two,
+        GatewayHarness(one, two, path=tmp_path) as node,
+    ):
+        assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
         assert len(one.commands) + len(two.commands) == 1
 
 
 @on_loop
 async def test_unsafe_request_is_retried_after_a_busy_response(tmp_path):
-    turns = iter([b"-BUSY active=3\r\n", VALUE])
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    turns = iter([b"-BUSY active=3\r\n", SERVER_REPLY])
+    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
         one.answer = two.answer = lambda: next(turns)
-        assert await node.ask(write(cls=b"note")) == SERVED
+        assert await node.send_command(write_command(cls=b"note")) == CLIENT_REPLY
         assert [c[2] for c in one.commands + two.commands] == [b"r1", b"r1"]
 
 
 @on_loop
 async def test_client_gets_busy_after_a_refused_connection(tmp_path):
-    async with StubHost() as server, Node(server, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
         server.server.close()
         await server.server.wait_closed()
         # The request did not run, so the client may retry.
-        assert (await node.ask(write(cls=b"note"))).startswith(b"-BUSY")
+        assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-BUSY")
 
 
 @on_loop
 async def test_idle_connection_is_reused_and_closed_before_the_server_closes_it(tmp_path, monkeypatch):
     monkeypatch.setattr(server_connections, "REUSE_DELAY", 0.0)
-    async with StubHost() as server, Node(server, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
         for n in range(3):
-            assert await node.ask(command(b"r%d" % n)) == SERVED
+            assert await node.send_command(command(b"r%d" % n)) == CLIENT_REPLY
         assert len(server.writers) == 1
-        (connection,) = node.node.hosts.pool_for("h1").idle
-        node.node.hosts.close_expired_idle()
-        assert node.node.hosts.pool_for("h1").idle == [connection]
+        (connection,) = node.service.server_connections.pool_for("h1").idle
+        node.service.server_connections.close_expired_idle()
+        assert node.service.server_connections.pool_for("h1").idle == [connection]
         connection.idle_since -= 28.0  # of the 30 s after which the server would close it
-        node.node.hosts.close_expired_idle()
-        assert node.node.hosts.pool_for("h1").idle == []
+        node.service.server_connections.close_expired_idle()
+        assert node.service.server_connections.pool_for("h1").idle == []
         while await server.arrived.get() is not None:
             pass
 
 
 @on_loop
 async def test_number_of_connections_stays_within_its_limit(tmp_path):
-    async with StubHost(answer=None) as server, Node(server, path=tmp_path) as node:
-        node.node.hosts.max_connections = 2
-        node.node.module.fleet.limit = 100.0
-        tasks = [asyncio.create_task(node.ask(command(b"r%d" % n, terms=terms(d="500")))) for n in range(6)]
+    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as node:
+        node.service.server_connections.max_connections = 2
+        node.service.policy.balancer.server_attempt_limit = 100.0
+        tasks = [
+            asyncio.create_task(node.send_command(command(b"r%d" % n, fields=command_fields(d="500"))))
+            for n in range(6)
+        ]
         await asyncio.gather(*tasks)
-        assert len(server.writers) <= 2 * 3 and node.node.hosts.open_count <= 2
+        assert len(server.writers) <= 2 * 3 and node.service.server_connections.open_count <= 2
 
 
 @on_loop
 async def test_connection_of_a_cancelled_attempt_closes_before_the_next_attempt_is_sent(tmp_path):
     """Without hedging, the connection of one attempt must close before the next attempt is written."""
-    async with StubHost(None) as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with StubServer(None) as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
 
         class SwitchingPolicy:
             def handle(self, now, event):
@@ -163,30 +179,30 @@
                     return [api.Send(event.id, "h1")]
                 return [api.Send(event.id, "h2")] if getattr(event, "result", "") == "cancelled" else []
 
-        node.node.module = SwitchingPolicy()
-        task = asyncio.create_task(node.ask(command()))
+        node.service.policy = SwitchingPolicy()
+        task = asyncio.create_task(node.send_command(command()))
         await one.arrived.get()
-        (attempt,) = node.node.works["r1"].live.values()
+        (attempt,) = node.service.active_requests["r1"].active_attempts.values()
         duplicate_socket = socket.socket(fileno=os.dup(attempt.connection.descriptor))
-        node.node.cancel(api.Cancel("r1", 0))
+        node.service.cancel(api.Cancel("r1", 0))
         with pytest.raises(OSError):  # the socket was shut down at once, not in a later loop iteration
             duplicate_socket.send(b"x")
         duplicate_socket.close()
         assert await one.arrived.get() is None
-        assert await task == SERVED and len(two.commands) == 1
+        assert await task == CLIENT_REPLY and len(two.commands) == 1
 
 
 @on_loop
 async def test_cancelled_connects_do_not_count_toward_the_connection_limit(tmp_path):
-    async with StubHost() as server, Node(server, path=tmp_path) as node:
-        connections = node.node.hosts
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+        connections = node.service.server_connections
         connections.max_connections = 2
         for _ in range(5):
             attempt = Attempt("h1", lambda attempt: command(), lambda attempt: None)
             connections.send(attempt, 3.0)
             connections.cancel_attempt(attempt, "cancelled")
             assert attempt.result == "connect_failed"
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
         assert len(server.commands) == 1
 
 
@@ -194,9 +210,9 @@
 @on_loop
 async def test_duplicate_response_is_not_taken_for_the_next_response(one_packet, tmp_path):
     """A duplicate response may still be unread in the socket when the next request is sent."""
-    async with StubHost(None) as server, Node(server, path=tmp_path) as node:
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as node:
         for n in range(3):
-            task = asyncio.create_task(node.ask(command(b"a%d" % n)))
+            task = asyncio.create_task(node.send_command(command(b"a%d" % n)))
             while not (arrived := await server.arrived.get()):
                 pass
             response = b"*3\r\n$2\r\n%s\r\n$-1\r\n$-1\r\n" % arrived[2]
@@ -205,7 +221,7 @@
                 writer.write(response + response)
             else:  # two packets, of which the gateway reads the first alone
                 writer.write(response)
-                busy = [c for c in node.node.hosts.connections if c.attempt is not None]
+                busy = [c for c in node.service.server_connections.connections if c.attempt is not None]
                 while any(c.attempt is not None for c in busy):
                     await asyncio.sleep(0)
                 writer.write(response)
@@ -217,10 +233,10 @@
     """The duplicate arrives only after the next request was written, so a check for unread data misses it."""
     now = time.monotonic()
     monkeypatch.setattr(server_connections, "monotonic", lambda: now)
-    async with StubHost(None) as server, Node(server, path=tmp_path) as node:
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as node:
 
         async def ask(name):
-            task = asyncio.create_task(node.ask(command(name)))
+            task = asyncio.create_task(node.send_command(command(name)))
             while not await server.arrived.get():
                 pass
             return task
@@ -238,9 +254,9 @@
 
 @on_loop
 async def test_connection_with_unread_data_is_not_reused(tmp_path):
-    async with StubHost() as server, Node(server, path=tmp_path) as node:
-        assert await node.ask(command(b"a")) == SERVED
-        pool = node.node.hosts.pool_for("h1")
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+        assert await node.send_command(command(b"a")) == CLIENT_REPLY
+        pool = node.service.server_connections.pool_for("h1")
         (connection,) = pool.idle
         connection.idle_since -= 1.0
         assert connection.is_reusable()
@@ -249,18 +265,18 @@
         await server.writers[0].drain()
         while connection.is_reusable():
             await asyncio.sleep(0)
-        assert await node.ask(command(b"b")) == SERVED
-        assert len(server.writers) == 2 and connection not in node.node.hosts.connections
+        assert await node.send_command(command(b"b")) == CLIENT_REPLY
+        assert len(server.writers) == 2 and connection not in node.service.server_connections.connections
 
 
 @on_loop
 async def test_exception_while_reading_a_response_ends_the_attempt(tmp_path, monkeypatch):
-    async with StubHost() as server, Node(server, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
         with monkeypatch.context() as patch:
             patch.setattr("calicomast.net.server_connections.read_response", lambda *_: 1 / 0)
-            assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
-        assert not node.node.hosts.connections
-        assert await node.ask(command(b"r2")) == SERVED
+            assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
+        assert not node.service.server_connections.connections
+        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
@@ -269,7 +285,7 @@
 
     A socket object that the connection kept would then close a descriptor that is in use again.
     """
-    async with StubHost() as server, Node(server, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
         ours, theirs = socket.socketpair()
 
         class Transport(asyncio.Transport):
@@ -279,7 +295,7 @@
             def is_closing(self):
                 return False
 
-        connection = server_connections.Connection(node.node.hosts.pool_for("h1"))
+        connection = server_connections.Connection(node.service.server_connections.pool_for("h1"))
         connection.connection_made(Transport({"socket": ours}))
         assert connection.is_reusable()
         del connection
@@ -290,7 +306,7 @@
         theirs.close()
 
 
-class IdleResettingServer(StubHost):
+class IdleResettingServer(StubServer):
     """A server behind a device that drops idle connections.
 
     While `dropping`, the second request on a connection is reset. `connections_made` counts its connections.
@@ -308,7 +324,7 @@
                 writer.transport.abort()
                 return
             self.used.add(writer)
-            writer.write(VALUE)
+            writer.write(SERVER_REPLY)
 
     async def __aenter__(self):
         self.used = set()
@@ -317,19 +333,19 @@
 
 @on_loop
 async def test_connections_are_not_reused_after_an_idle_time_that_leads_to_resets(tmp_path):
-    async with IdleResettingServer() as server, Node(server, path=tmp_path) as node:
+    async with IdleResettingServer() as server, GatewayHarness(server, path=tmp_path) as node:
 
         async def ask(n, idle_time):
             """Sends a request after the idle connections have been idle for so many seconds."""
-            for pool in node.node.hosts.pools.values():
+            for pool in node.service.server_connections.pools.values():
                 for connection in pool.idle:
                     connection.idle_since = time.monotonic() - idle_time
-            return await node.ask(command(b"r%d" % n))
+            return await node.send_command(command(b"r%d" % n))
 
         replies = [await ask(n, 1.0) for n in range(40)]
-        assert replies.count(SERVED) >= 34 and replies[-20:] == [SERVED] * 20
+        assert replies.count(CLIENT_REPLY) >= 34 and replies[-20:] == [CLIENT_REPLY] * 20
         server.dropping, made_before = False, server.connections_made
-        assert [await ask(n, 0.05) for n in range(50, 60)] == [SERVED] * 10
+        assert [await ask(n, 0.05) for n in range(50, 60)] == [CLIENT_REPLY] * 10
         # Connections that were idle for less are still reused.
         assert server.connections_made <= made_before + 1
 
@@ -401,13 +417,13 @@
 async def test_reset_between_the_reuse_check_and_the_write_counts_as_not_sent(tmp_path, monkeypatch):
     monkeypatch.setattr(server_connections, "REUSE_DELAY", 0.0)
     raw_server, loop = RawServer(), asyncio.get_running_loop()
-    async with StubHost() as other, Node(raw_server, other, path=tmp_path) as node:
-        node.node.module = policy = policy_sending_first_to("h1")
-        task = asyncio.create_task(node.ask(command(b"a")))
+    async with StubServer() as other, GatewayHarness(raw_server, other, path=tmp_path) as node:
+        node.service.policy = policy = policy_sending_first_to("h1")
+        task = asyncio.create_task(node.send_command(command(b"a")))
         connection = await raw_server.accept()
         await loop.sock_recv(connection, 65536)
-        await loop.sock_sendall(connection, VALUE)
-        assert await task == SERVED
+        await loop.sock_sendall(connection, SERVER_REPLY)
+        assert await task == CLIENT_REPLY
         original = server_connections.Connection.is_reusable
 
         def reset_after_check(self):
@@ -416,12 +432,12 @@
             return reusable
 
         monkeypatch.setattr(server_connections.Connection, "is_reusable", reset_after_check)
-        assert await node.ask(write(cls=b"note")) == SERVED
+        assert await node.send_command(write_command(cls=b"note")) == CLIENT_REPLY
         assert policy.results == ["connect_failed"] and len(other.commands) == 1
 
 
 @pytest.mark.parametrize(
-    "read, result, answer", [(False, "connect_failed", SERVED), (True, "reset", b"-ERR failed\r\n")]
+    "read, result, answer", [(False, "connect_failed", CLIENT_REPLY), (True, "reset", b"-ERR failed\r\n")]
 )
 @on_loop
 async def test_request_counts_as_possibly_executed_once_its_last_byte_is_written(
@@ -436,16 +452,18 @@
 
     monkeypatch.setattr(server_connections.Connection, "connection_made", with_small_send_buffer)
     raw_server, loop = RawServer(receive_buffer=4096), asyncio.get_running_loop()
-    async with StubHost() as other, Node(raw_server, other, path=tmp_path) as node:
-        node.node.module = policy = policy_sending_first_to("h1")
+    async with StubServer() as other, GatewayHarness(raw_server, other, path=tmp_path) as node:
+        node.service.policy = policy = policy_sending_first_to("h1")
         terms = b"c=note,t=p,d=3000,units=1,spread=1,first=0"
-        task = asyncio.create_task(node.ask(command(b"r1", terms, b"API.WRITE", body=b"x" * 60_000)))
+        task = asyncio.create_task(node.send_command(command(b"r1", terms, b"API.WRITE", body=b"x" * 60_000)))
         connection, got = await raw_server.accept(), b""
-        while not node.node.hosts.connections or all(c.written for c in node.node.hosts.connections):
+        while not node.service.server_connections.connections or all(
+            c.written for c in node.service.server_connections.connections
+        ):
             await asyncio.sleep(0)  # until a part of it is written
         while read and not got.endswith(b"x" * 60 + b"\r\n"):
             got += await loop.sock_recv(connection, 65536)
-        while read and not all(c.written for c in node.node.hosts.connections):
+        while read and not all(c.written for c in node.service.server_connections.connections):
             await asyncio.sleep(0)
         raw_server.reset(connection)
         assert await task == answer
