--- a/calicomast/net/counter.py
+++ b/calicomast/net/counter.py
@@ -16,7 +16,7 @@
 from calicomast.net.server_list import Address
 
 CONNECTION_COUNT = 4  # several, so that a slow partition of the counter does not delay the other names
-KEEP_ALIVE_INTERVAL = 2.0  # seconds without a call, after which a `ping`, which is free, keeps the connection
+KEEP_ALIVE_INTERVAL = 2.0  # seconds without a call, after which a `ping`, which is not charged, is sent
 CHECK_INTERVAL = 0.25  # seconds between checks for silent and idle connections
 # A connection is dead after this time without a response: the larger of the two.
 MIN_SILENCE_TIMEOUT = 0.5  # seconds
@@ -190,7 +190,7 @@
             self.write(Call(PING_NAME, None), b"ping\r\n")
 
     async def keep_connected(self) -> None:
-        """Connects, and connects again with backoff whenever the connection is lost, until it is retired."""
+        """Connects, and reconnects with backoff whenever the connection is lost, until it is retired."""
         loop, backoff = asyncio.get_running_loop(), MIN_BACKOFF
         while not self.retired:
             self.disconnected.clear()
@@ -232,7 +232,7 @@
         self.check_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Starts to connect, and the periodic checks."""
+        """Starts all connections and the periodic checks."""
         self.connections = [self.new_connection() for _ in range(CONNECTION_COUNT)]
         self.check_task = asyncio.get_running_loop().create_task(self.run_checks())
 
@@ -252,7 +252,10 @@
         self.replacements = {index: self.new_connection() for index in range(CONNECTION_COUNT)}
 
     def replace_connection(self, connection: CounterConnection) -> None:
-        """Puts a connection to a new address, now established, in the place of the one it replaces."""
+        """Puts an established connection to a new address in the place of the one that it replaces.
+
+        Every connection calls this once it is established; one that replaces none is left as it is.
+        """
         for index in [index for index, new in self.replacements.items() if new is connection]:
             replaced, self.connections[index] = self.connections[index], self.replacements.pop(index)
             self.retired_connections.add(replaced)
--- a/calicomast/net/server_connections.py
+++ b/calicomast/net/server_connections.py
@@ -63,7 +63,8 @@
         timer: cancels the attempt at its timeout.
         state: AttemptState.
         retry_until: clock time by which it has to be written, if it is a retry.
-        slow_start: whether the server has just started, so that a late write needs the policy's permission.
+        slow_start: whether the server has just started, so that a write needs the policy's permission if the
+            connection was established late.
         permitted: whether the caller has checked in this same step that the attempt may begin.
     """
 
--- a/tests/test_net_server_connections.py
+++ b/tests/test_net_server_connections.py
@@ -27,7 +27,7 @@
 
 @on_loop
 async def test_malformed_load_report_is_ignored(tmp_path):
-    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
         for n, report in enumerate(
             (
                 b"$-1\r\n",
@@ -43,8 +43,8 @@
             )
         ):
             server.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
-            assert await node.send_command(command(b"r%d" % n)) == b"$1\r\nv\r\n"
-        assert not node.service.policy.balancer.has_load_reports
+            assert await harness.send_command(command(b"r%d" % n)) == b"$1\r\nv\r\n"
+        assert not harness.service.policy.balancer.has_load_reports
 
 
 @pytest.mark.parametrize(
@@ -70,19 +70,19 @@
 )
 @on_loop
 async def test_malformed_response_of_a_server_is_not_served(malformed, tmp_path):
-    async with StubServer(malformed) as server, GatewayHarness(server, path=tmp_path) as node:
+    async with StubServer(malformed) as server, GatewayHarness(server, path=tmp_path) as harness:
         began = time.process_time()
-        assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
+        assert (await harness.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
         # CPU time is limited, and hiredis took over a second for some of these responses.
         assert time.process_time() - began < 0.5
         server.answer = SERVER_REPLY
-        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
+        assert await harness.send_command(command(b"r2")) == CLIENT_REPLY
         assert len(server.writers) == 2  # the connection with the malformed response was closed
 
 
 @on_loop
 async def test_probe_returns_the_load_report(tmp_path):
-    async with StubServer(b"$8\r\nactive=7\r\n") as server, GatewayHarness(server, path=tmp_path) as node:
+    async with StubServer(b"$8\r\nactive=7\r\n") as server, GatewayHarness(server, path=tmp_path) as harness:
         seen, done = [], asyncio.Event()
 
         class ProbeRecorder:
@@ -92,8 +92,8 @@
                     done.set()
                 return []
 
-        node.service.policy = ProbeRecorder()
-        node.service.probe(api.Probe("h1"))
+        harness.service.policy = ProbeRecorder()
+        harness.service.probe(api.Probe("h1"))
         await done.wait()
         assert server.commands == [[b"INFO", b"load"]]
         assert seen[0].result == "ok" and seen[0].report == {"inflight": 7.0}
@@ -101,12 +101,12 @@
 
 @on_loop
 async def test_late_response_is_not_delivered_to_a_later_request(tmp_path):
-    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as node:
-        assert (await node.send_command(write_command(cls=b"note", d=300))).startswith(b"-ERR")
+    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        assert (await harness.send_command(write_command(cls=b"note", d=300))).startswith(b"-ERR")
         assert await server.arrived.get() and await server.arrived.get() is None  # None: connection closed
         server.writers[0].write(b"*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n")
         server.answer = SERVER_REPLY
-        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
+        assert await harness.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
@@ -114,64 +114,68 @@
     async with (
         StubServer(b"") as one,
         StubServer(b"") as two,
-        GatewayHarness(one, two, path=tmp_path) as node,
+        GatewayHarness(one, two, path=tmp_path) as harness,
     ):
-        assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
+        assert (await harness.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
         assert len(one.commands) + len(two.commands) == 1
 
 
 @on_loop
 async def test_unsafe_request_is_retried_after_a_busy_response(tmp_path):
     turns = iter([b"-BUSY active=3\r\n", SERVER_REPLY])
-    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
+    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as harness:
         one.answer = two.answer = lambda: next(turns)
-        assert await node.send_command(write_command(cls=b"note")) == CLIENT_REPLY
+        assert await harness.send_command(write_command(cls=b"note")) == CLIENT_REPLY
         assert [c[2] for c in one.commands + two.commands] == [b"r1", b"r1"]
 
 
 @on_loop
 async def test_client_gets_busy_after_a_refused_connection(tmp_path):
-    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
         server.server.close()
         await server.server.wait_closed()
         # The request did not run, so the client may retry.
-        assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-BUSY")
+        assert (await harness.send_command(write_command(cls=b"note"))).startswith(b"-BUSY")
 
 
 @on_loop
 async def test_idle_connection_is_reused_and_closed_before_the_server_closes_it(tmp_path, monkeypatch):
     monkeypatch.setattr(server_connections, "REUSE_DELAY", 0.0)
-    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
         for n in range(3):
-            assert await node.send_command(command(b"r%d" % n)) == CLIENT_REPLY
+            assert await harness.send_command(command(b"r%d" % n)) == CLIENT_REPLY
         assert len(server.writers) == 1
-        (connection,) = node.service.server_connections.pool_for("h1").idle
-        node.service.server_connections.close_expired_idle()
-        assert node.service.server_connections.pool_for("h1").idle == [connection]
+        (connection,) = harness.service.server_connections.pool_for("h1").idle
+        harness.service.server_connections.close_expired_idle()
+        assert harness.service.server_connections.pool_for("h1").idle == [connection]
         connection.idle_since -= 28.0  # of the 30 s after which the server would close it
-        node.service.server_connections.close_expired_idle()
-        assert node.service.server_connections.pool_for("h1").idle == []
+        harness.service.server_connections.close_expired_idle()
+        assert harness.service.server_connections.pool_for("h1").idle == []
         while await server.arrived.get() is not None:
             pass
 
 
 @on_loop
 async def test_number_of_connections_stays_within_its_limit(tmp_path):
-    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as node:
-        node.service.server_connections.max_connections = 2
-        node.service.policy.balancer.server_attempt_limit = 100.0
+    async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as harness:
+        harness.service.server_connections.max_connections = 2
+        harness.service.policy.balancer.server_attempt_limit = 100.0
         tasks = [
-            asyncio.create_task(node.send_command(command(b"r%d" % n, fields=command_fields(d="500"))))
+            asyncio.create_task(harness.send_command(command(b"r%d" % n, fields=command_fields(d="500"))))
             for n in range(6)
         ]
         await asyncio.gather(*tasks)
-        assert len(server.writers) <= 2 * 3 and node.service.server_connections.open_count <= 2
+        assert len(server.writers) <= 2 * 3 and harness.service.server_connections.open_count <= 2
 
 
 @on_loop
 async def test_connection_of_a_cancelled_attempt_closes_before_the_next_attempt_is_sent(tmp_path):
     """Without hedging, the connection of one attempt must close before the next attempt is written."""
-    async with StubServer(None) as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
+    async with (
+        StubServer(None) as one,
+        StubServer() as two,
+        GatewayHarness(one, two, path=tmp_path) as harness,
+    ):
 
         class SwitchingPolicy:
             def handle(self, now, event):
@@ -179,12 +183,12 @@
                     return [api.Send(event.id, "h1")]
                 return [api.Send(event.id, "h2")] if getattr(event, "result", "") == "cancelled" else []
 
-        node.service.policy = SwitchingPolicy()
-        task = asyncio.create_task(node.send_command(command()))
+        harness.service.policy = SwitchingPolicy()
+        task = asyncio.create_task(harness.send_command(command()))
         await one.arrived.get()
-        (attempt,) = node.service.active_requests["r1"].active_attempts.values()
+        (attempt,) = harness.service.active_requests["r1"].active_attempts.values()
         duplicate_socket = socket.socket(fileno=os.dup(attempt.connection.descriptor))
-        node.service.cancel(api.Cancel("r1", 0))
+        harness.service.cancel(api.Cancel("r1", 0))
         with pytest.raises(OSError):  # the socket was shut down at once, not in a later loop iteration
             duplicate_socket.send(b"x")
         duplicate_socket.close()
@@ -194,15 +198,15 @@
 
 @on_loop
 async def test_cancelled_connects_do_not_count_toward_the_connection_limit(tmp_path):
-    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
-        connections = node.service.server_connections
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        connections = harness.service.server_connections
         connections.max_connections = 2
         for _ in range(5):
             attempt = Attempt("h1", lambda attempt: command(), lambda attempt: None)
             connections.send(attempt, 3.0)
             connections.cancel_attempt(attempt, "cancelled")
             assert attempt.result == "connect_failed"
-        assert await node.send_command(command()) == CLIENT_REPLY
+        assert await harness.send_command(command()) == CLIENT_REPLY
         assert len(server.commands) == 1
 
 
@@ -210,9 +214,9 @@
 @on_loop
 async def test_duplicate_response_is_not_taken_for_the_next_response(one_packet, tmp_path):
     """A duplicate response may still be unread in the socket when the next request is sent."""
-    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as node:
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
         for n in range(3):
-            task = asyncio.create_task(node.send_command(command(b"a%d" % n)))
+            task = asyncio.create_task(harness.send_command(command(b"a%d" % n)))
             while not (arrived := await server.arrived.get()):
                 pass
             response = b"*3\r\n$2\r\n%s\r\n$-1\r\n$-1\r\n" % arrived[2]
@@ -221,7 +225,7 @@
                 writer.write(response + response)
             else:  # two packets, of which the gateway reads the first alone
                 writer.write(response)
-                busy = [c for c in node.service.server_connections.connections if c.attempt is not None]
+                busy = [c for c in harness.service.server_connections.connections if c.attempt is not None]
                 while any(c.attempt is not None for c in busy):
                     await asyncio.sleep(0)
                 writer.write(response)
@@ -233,10 +237,10 @@
     """The duplicate arrives only after the next request was written, so a check for unread data misses it."""
     now = time.monotonic()
     monkeypatch.setattr(server_connections, "monotonic", lambda: now)
-    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as node:
+    async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
 
         async def ask(name):
-            task = asyncio.create_task(node.send_command(command(name)))
+            task = asyncio.create_task(harness.send_command(command(name)))
             while not await server.arrived.get():
                 pass
             return task
@@ -254,9 +258,9 @@
 
 @on_loop
 async def test_connection_with_unread_data_is_not_reused(tmp_path):
-    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
-        assert await node.send_command(command(b"a")) == CLIENT_REPLY
-        pool = node.service.server_connections.pool_for("h1")
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        assert await harness.send_command(command(b"a")) == CLIENT_REPLY
+        pool = harness.service.server_connections.pool_for("h1")
         (connection,) = pool.idle
         connection.idle_since -= 1.0
         assert connection.is_reusable()
@@ -265,18 +269,18 @@
         await server.writers[0].drain()
         while connection.is_reusable():
             await asyncio.sleep(0)
-        assert await node.send_command(command(b"b")) == CLIENT_REPLY
-        assert len(server.writers) == 2 and connection not in node.service.server_connections.connections
+        assert await harness.send_command(command(b"b")) == CLIENT_REPLY
+        assert len(server.writers) == 2 and connection not in harness.service.server_connections.connections
 
 
 @on_loop
 async def test_exception_while_reading_a_response_ends_the_attempt(tmp_path, monkeypatch):
-    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
         with monkeypatch.context() as patch:
             patch.setattr("calicomast.net.server_connections.read_response", lambda *_: 1 / 0)
-            assert (await node.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
-        assert not node.service.server_connections.connections
-        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
+            assert (await harness.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
+        assert not harness.service.server_connections.connections
+        assert await harness.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
@@ -285,7 +289,7 @@
 
     A socket object that the connection kept would then close a descriptor that is in use again.
     """
-    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
         ours, theirs = socket.socketpair()
 
         class Transport(asyncio.Transport):
@@ -295,7 +299,7 @@
             def is_closing(self):
                 return False
 
-        connection = server_connections.Connection(node.service.server_connections.pool_for("h1"))
+        connection = server_connections.Connection(harness.service.server_connections.pool_for("h1"))
         connection.connection_made(Transport({"socket": ours}))
         assert connection.is_reusable()
         del connection
@@ -333,14 +337,14 @@
 
 @on_loop
 async def test_connections_are_not_reused_after_an_idle_time_that_leads_to_resets(tmp_path):
-    async with IdleResettingServer() as server, GatewayHarness(server, path=tmp_path) as node:
+    async with IdleResettingServer() as server, GatewayHarness(server, path=tmp_path) as harness:
 
         async def ask(n, idle_time):
             """Sends a request after the idle connections have been idle for so many seconds."""
-            for pool in node.service.server_connections.pools.values():
+            for pool in harness.service.server_connections.pools.values():
                 for connection in pool.idle:
                     connection.idle_since = time.monotonic() - idle_time
-            return await node.send_command(command(b"r%d" % n))
+            return await harness.send_command(command(b"r%d" % n))
 
         replies = [await ask(n, 1.0) for n in range(40)]
         assert replies.count(CLIENT_REPLY) >= 34 and replies[-20:] == [CLIENT_REPLY] * 20
@@ -417,9 +421,9 @@
 async def test_reset_between_the_reuse_check_and_the_write_counts_as_not_sent(tmp_path, monkeypatch):
     monkeypatch.setattr(server_connections, "REUSE_DELAY", 0.0)
     raw_server, loop = RawServer(), asyncio.get_running_loop()
-    async with StubServer() as other, GatewayHarness(raw_server, other, path=tmp_path) as node:
-        node.service.policy = policy = policy_sending_first_to("h1")
-        task = asyncio.create_task(node.send_command(command(b"a")))
+    async with StubServer() as other, GatewayHarness(raw_server, other, path=tmp_path) as harness:
+        harness.service.policy = policy = policy_sending_first_to("h1")
+        task = asyncio.create_task(harness.send_command(command(b"a")))
         connection = await raw_server.accept()
         await loop.sock_recv(connection, 65536)
         await loop.sock_sendall(connection, SERVER_REPLY)
@@ -432,7 +436,7 @@
             return reusable
 
         monkeypatch.setattr(server_connections.Connection, "is_reusable", reset_after_check)
-        assert await node.send_command(write_command(cls=b"note")) == CLIENT_REPLY
+        assert await harness.send_command(write_command(cls=b"note")) == CLIENT_REPLY
         assert policy.results == ["connect_failed"] and len(other.commands) == 1
 
 
@@ -452,18 +456,20 @@
 
     monkeypatch.setattr(server_connections.Connection, "connection_made", with_small_send_buffer)
     raw_server, loop = RawServer(receive_buffer=4096), asyncio.get_running_loop()
-    async with StubServer() as other, GatewayHarness(raw_server, other, path=tmp_path) as node:
-        node.service.policy = policy = policy_sending_first_to("h1")
-        terms = b"c=note,t=p,d=3000,units=1,spread=1,first=0"
-        task = asyncio.create_task(node.send_command(command(b"r1", terms, b"API.WRITE", body=b"x" * 60_000)))
+    async with StubServer() as other, GatewayHarness(raw_server, other, path=tmp_path) as harness:
+        harness.service.policy = policy = policy_sending_first_to("h1")
+        fields = b"c=note,t=p,d=3000,units=1,spread=1,first=0"
+        task = asyncio.create_task(
+            harness.send_command(command(b"r1", fields, b"API.WRITE", body=b"x" * 60_000))
+        )
         connection, got = await raw_server.accept(), b""
-        while not node.service.server_connections.connections or all(
-            c.written for c in node.service.server_connections.connections
+        while not harness.service.server_connections.connections or all(
+            c.written for c in harness.service.server_connections.connections
         ):
             await asyncio.sleep(0)  # until a part of it is written
         while read and not got.endswith(b"x" * 60 + b"\r\n"):
             got += await loop.sock_recv(connection, 65536)
-        while read and not all(c.written for c in node.service.server_connections.connections):
+        while read and not all(c.written for c in harness.service.server_connections.connections):
             await asyncio.sleep(0)
         raw_server.reset(connection)
         assert await task == answer
