--- a/calicomast/net/counter.py
+++ b/calicomast/net/counter.py
@@ -16,7 +16,7 @@
 from calicomast.net.server_list import Address
 
 CONNECTION_COUNT = 4  # several, so that a slow partition of the counter does not delay the other names
-KEEP_ALIVE_INTERVAL = 2.0  # seconds without a call, after which a `ping`, which is not charged, is sent
+KEEP_ALIVE_INTERVAL = 2.0  # seconds without a call after which a `ping`, which is free, is sent as keep-alive
 CHECK_INTERVAL = 0.25  # seconds between checks for silent and idle connections
 # A connection is dead after this time without a response: the larger of the two.
 MIN_SILENCE_TIMEOUT = 0.5  # seconds
