--- a/calicomast/net/server_list.py
+++ b/calicomast/net/server_list.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from calicomast import interface as api
-from calicomast.net.clock import LONG_AGO
+from calicomast.net.clock import STARTED_LONG_AGO
 from calicomast.net.json_stream import JsonArrayReader
 
 STATE = {"up": "up", "draining": "leaving", "removed": "down"}
@@ -89,7 +89,7 @@
         if not name.isascii():
             name.encode()  # raises ValueError where an escape stands for half a character
         started = told.get("started_ms")
-        started = float(started) / 1000 if started else LONG_AGO
+        started = float(started) / 1000 if started else STARTED_LONG_AGO
         weight, cell = float(told.get("weight", 1.0)), int(told.get("cell", 0))
         if not (0 <= weight < math.inf and 0 <= started < math.inf and 0 <= cell < MOST_CELL):
             raise ValueError("weight, start or cell out of range")
--- a/calicomast/net/server_table.py
+++ b/calicomast/net/server_table.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Generator, Iterator
 
 from calicomast import interface as api
-from calicomast.net.clock import LONG_AGO
+from calicomast.net.clock import STARTED_LONG_AGO
 from calicomast.net.server_list import Address, ServerEntry, ServerList, parse_address
 from calicomast.rules import Verdict, may_apply_list
 
@@ -129,7 +129,7 @@
 
     def _on_our_clock(self, host: api.Host) -> api.Host:
         """The server with its start on this gateway's clock, worked out once for each start."""
-        if host.started == LONG_AGO:
+        if host.started == STARTED_LONG_AGO:
             return host
         told, started = self._starts.get(host.id, (None, 0.0))
         if told != host.started:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock: what the gateway makes of starts that it is told before and after one."""
+"""Steps of the wall clock: the gateway's clock ignores them, and start times of servers are converted right."""
 
 import time
 
@@ -9,56 +9,57 @@
 from calicomast.net.server_list import parse_server_list
 from calicomast.net.server_table import ServerTable
 
-NOW, AGE = 1_700_000_000.0, 3.0
+NOW = 1_700_000_000.0  # seconds, Unix time
+AGE = 3.0  # seconds since the server's start
 
 
-class Times:
-    """Both clocks of a machine, as a test sets them."""
+class FakeTime:
+    """Stands in for the module `time`: both clocks of a machine, set by the test."""
 
     def __init__(self):
-        self.step, self.passed = 0.0, 100.0
+        self.step, self.elapsed = 0.0, 100.0  # seconds
 
     def time(self):
-        return NOW + self.step + self.passed
+        return NOW + self.step + self.elapsed
 
     def monotonic(self):
-        return self.passed
+        return self.elapsed
 
 
 @pytest.fixture
-def times(monkeypatch):
-    made = Times()
-    monkeypatch.setattr(clock, "time", made)
-    return made
+def fake_time(monkeypatch):
+    fake = FakeTime()
+    monkeypatch.setattr(clock, "time", fake)
+    return fake
 
 
-def test_time_goes_on_by_itself_through_a_step(times):
-    ticking = Clock()
-    before = ticking()
-    times.step, times.passed = 3600.0, times.passed + 2.0
-    assert ticking() == pytest.approx(before + 2.0)
+def test_clock_ignores_a_step_of_the_wall_clock(fake_time):
+    gateway_clock = Clock()
+    before = gateway_clock()
+    fake_time.step, fake_time.elapsed = 3600.0, fake_time.elapsed + 2.0
+    assert gateway_clock() == pytest.approx(before + 2.0)
 
 
 @pytest.mark.parametrize("everywhere", [True, False])
 @pytest.mark.parametrize("step", [0.0, 3600.0, -3600.0, 5.0, -5.0])
-def test_a_server_that_has_just_started_is_young_whatever_clock_it_is_told_on(step, everywhere, times):
-    """`everywhere`: the clock of the one that tells the start was stepped too."""
-    ticking = Clock()
-    times.step = step
-    told = NOW + times.passed + (step if everywhere else 0.0) - AGE
-    age = ticking() - ticking.local_start_time(told)
+def test_server_that_has_just_started_is_young_on_either_side_of_a_step(step, everywhere, fake_time):
+    """`everywhere`: the clock that the start time was read from was stepped too."""
+    gateway_clock = Clock()
+    fake_time.step = step
+    reported = NOW + fake_time.elapsed + (step if everywhere else 0.0) - AGE
+    age = gateway_clock() - gateway_clock.local_start_time(reported)
     assert 0.0 <= age <= AGE + 1e-6
 
 
-def test_a_server_of_long_ago_stays_one(times):
+def test_start_long_ago_stays_long_ago(fake_time):
     assert Clock().local_start_time(0.0) == 0.0
 
 
-def test_a_start_is_put_on_our_clock_once(times):
-    """A change of its state after a step must not look like another start."""
-    ticking, seen = Clock(), []
-    table = ServerTable(seen.append, lambda server: None, ticking.local_start_time)
-    started = int(1000 * (NOW + times.passed - AGE))
+def test_start_time_is_converted_once(fake_time):
+    """A change of a server's state after a step must not look like another start of the server."""
+    gateway_clock, events = Clock(), []
+    table = ServerTable(events.append, lambda server: None, gateway_clock.local_start_time)
+    started = int(1000 * (NOW + fake_time.elapsed - AGE))
     text = (
         '{"version":%d,"full":false,"servers":[{"id":"h1","addr":"127.0.0.1:%d","zone":"a","kind":"k",'
         '"cell":0,"state":"up","weight":1.0,"started_ms":%d}]}'
@@ -66,11 +67,11 @@
     for version, port in ((2, 7001), (3, 7002)):
         for _ in table.apply(parse_server_list((text % (version, port, started)).encode())):
             pass
-        times.step += 3600.0
-    first, second = (event.hosts[0].started for event in seen)
-    assert first == second == pytest.approx(ticking() - AGE)
+        fake_time.step += 3600.0
+    first, second = (event.hosts[0].started for event in events)
+    assert first == second == pytest.approx(gateway_clock() - AGE)
 
 
-def test_the_real_clocks_agree_without_a_step():
-    ticking = Clock()
-    assert abs(ticking() - time.time()) < 1.0
+def test_clock_agrees_with_the_wall_clock_without_a_step():
+    gateway_clock = Clock()
+    assert abs(gateway_clock() - time.time()) < 1.0
--- a/tests/test_net_clock.py
+++ b/tests/test_net_clock.py
@@ -6,21 +6,21 @@
 import pytest
 from netkit import SETTINGS, Node, StubHost, entry, on_loop
 
-COLD = {**SETTINGS["rules"], "cold": 18_000_000_000}
-AGE = 2.0  # s since the server's start, as it is told
+SLOW_START_RULES = {**SETTINGS["rules"], "cold": 18_000_000_000}  # nanoseconds
+AGE = 2.0  # seconds since the server's start, as discovery sends it
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0])
 @on_loop
-async def test_a_server_that_starts_after_a_step_is_cold(step, tmp_path, monkeypatch):
-    real = time.time
-    async with StubHost() as warm, StubHost() as cold:
-        async with Node(warm, path=tmp_path, settings={**SETTINGS, "rules": COLD}) as node:
-            monkeypatch.setattr(time, "time", lambda: real() + step)  # every machine reads the same clock
+async def test_server_that_starts_after_a_clock_step_is_in_slow_start(step, tmp_path, monkeypatch):
+    wall_clock = time.time
+    async with StubHost() as running, StubHost() as restarted:
+        async with Node(running, path=tmp_path, settings={**SETTINGS, "rules": SLOW_START_RULES}) as node:
+            monkeypatch.setattr(time, "time", lambda: wall_clock() + step)  # all machines were stepped alike
             started = {"started_ms": int(1000 * (time.time() - AGE))}
-            node.discovery.changes.put_nowait([entry(cold, "h2") | started])
+            node.discovery.changes.put_nowait([entry(restarted, "h2") | started])
             fleet = node.node.module.fleet
             while "h2" not in fleet.servers:
                 await asyncio.sleep(0.01)
-            warmth = fleet.servers["h2"].warmth(node.node.clock(), node.node.settings.rules)
-            assert 0.2 < warmth < 0.5  # a fifth at its start, all of its capacity after 18 s
+            weight = fleet.servers["h2"].warmth(node.node.clock(), node.node.settings.rules)
+            assert 0.2 < weight < 0.5  # 0.2 at its start, all of its capacity after 18 s
