--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock: the gateway's clock ignores them, and start times of servers are converted right."""
+"""Steps of the wall clock: the gateway's clock ignores them, and start times of servers stay correct."""
 
 import time
 
