--- a/calicomast/net/server_list.py
+++ b/calicomast/net/server_list.py
@@ -158,7 +158,7 @@
             version = int(members["version"])
         except (KeyError, TypeError, ValueError, OverflowError) as err:
             raise ValueError(f"not a list of hosts: {type(err).__name__} {err}") from err
-        if not self.json_reader.found or not 0 <= version < MOST_VERSION:
+        if not self.json_reader.array_found or not 0 <= version < MOST_VERSION:
             raise ValueError("not a list of hosts: no servers, or a version out of range")
         if self.unreadable and not self.entries:
             raise ValueError("not a list of hosts: no entry can be read")
--- a/tests/test_net_server_list.py
+++ b/tests/test_net_server_list.py
@@ -9,7 +9,7 @@
 
 from calicomast.net import discovery, gateway, server_list, server_table
 from calicomast.net.events import Kind
-from calicomast.net.json_stream import LONGEST_VALUE, JsonArrayReader
+from calicomast.net.json_stream import MAX_VALUE_CHARACTERS, JsonArrayReader
 from calicomast.net.server_list import CHUNK_BYTES, ServerListReader, parse_server_list
 from calicomast.net.server_table import COMPARED, SLICE, ServerTable
 
@@ -95,11 +95,11 @@
     reader = JsonArrayReader(("servers",))
     assert not list(reader.feed(b'{"a": "'))
     fed = 0
-    with pytest.raises(ValueError, match="without end"):
+    with pytest.raises(ValueError, match="exceeds the length limit"):
         while True:
             fed += CHUNK_BYTES
             list(reader.feed(b"x" * CHUNK_BYTES))
-    assert fed <= LONGEST_VALUE + 2 * CHUNK_BYTES
+    assert fed <= MAX_VALUE_CHARACTERS + 2 * CHUNK_BYTES
 
 
 ODD = [
