--- a/calicomast/net/discovery.py
+++ b/calicomast/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: a watch for changes to the list of hosts, from the last version that is held."""
+"""The client of the discovery service, which fetches the server list and watches for changes of it."""
 
 from __future__ import annotations
 
@@ -12,56 +12,80 @@
 from calicomast.net.lifecycle import CallState, change
 from calicomast.net.server_list import Address, ServerEntry, ServerList, ServerListReader
 
-# What discovery has and would give counts as told 6 s later, whatever became of the calls made till then. So
-# a watch that fell silent as it began is given up by half of that, and the rest is for tries that fail too.
-TOLD = 6.0
-WAIT = TOLD / 2  # s that discovery may hold a watch open
-ANSWER = 0.5  # s past that after which another call begins: the agent is on this machine and answers at once
-ANSWER_LEAST = 0.1  # s of it where sends to a drained host must stop sooner than twice that
-LONGEST_ANSWER = TOLD / 2  # s for which an answer that is coming in keeps another call from being made
-MOST_OPEN = 16  # calls at once that are late; past that the oldest is given up
-MOST_LIST = 1024 * 1024  # bytes of an answer, if nothing else is said: one without end would fill the memory
-BACKOFF_LEAST, BACKOFF_MOST = 0.1, TOLD / 15  # s between tries of a busy discovery, more or less by half
-COSTLY, COSTLY_MOST = 64 * 1024, TOLD / 3  # bytes of a refused answer from which the pause grows to more; s
-GRACE_PART = 0.2  # of the time in which sends to a drained host must stop; longest pause before silence ends
-AGAIN = 0.1  # s before the next call where a watch ended early without news: a watch goes on for 0.2 s
+# A change counts as sent to this gateway CHANGE_DEADLINE after discovery has it, whatever became of the calls
+# in that time. A watch that goes silent as it begins is therefore given up after half of that time; the other
+# half remains for retries that fail as well.
+CHANGE_DEADLINE = 6.0  # seconds
+WATCH_DURATION = CHANGE_DEADLINE / 2  # seconds for which discovery may hold a watch open
+# Seconds past the duration of a call after which the next call is made without its response. Discovery's
+# agent runs on the same machine and responds at once.
+RESPONSE_TIMEOUT = 0.5
+MIN_RESPONSE_TIMEOUT = 0.1  # seconds; applies where the drain grace is shorter than twice this
+MAX_RESPONSE_DURATION = CHANGE_DEADLINE / 2  # seconds for which an incoming response delays the next call
+MAX_OPEN_CALLS = 16  # late calls at once; beyond that the oldest is cancelled
+DEFAULT_MAX_BODY_BYTES = 1024 * 1024  # an endless response would fill the memory
+MIN_BACKOFF = 0.1  # seconds between calls to a busy discovery, randomized by up to half in both directions
+MAX_BACKOFF = CHANGE_DEADLINE / 15  # seconds
+LARGE_RESPONSE_BYTES = 64 * 1024  # after a rejected response that is larger, the backoff grows further
+MAX_BACKOFF_AFTER_LARGE_RESPONSE = CHANGE_DEADLINE / 3  # seconds
+BACKOFF_GRACE_FRACTION = 0.2  # longest backoff while discovery is silent, as a fraction of the drain grace
+# Seconds before the next call when a watch ended early without changes. Discovery considers a watch continued
+# if the next call comes within 0.2 s.
+EARLY_WATCH_END_DELAY = 0.1
 
 log = logging.getLogger(__name__)
 
 
 class Call:
-    """One call to discovery that is out."""
+    """One call to discovery that has not ended yet.
 
-    def __init__(self, number: int, now: float, longest: float) -> None:
-        self.number, self.began, self.longest = number, now, longest
+    Args:
+        number: counts the calls from 1.
+        now: time of the event loop, in seconds.
+        max_delay: seconds from the start for which progress of the response delays the next call.
+    """
+
+    def __init__(self, number: int, now: float, max_delay: float) -> None:
+        self.number, self.started_at, self.max_delay = number, now, max_delay
         self.state = CallState.ASKED
-        self.moved_at = now  # when it last got on: an answer began, came in or was taken over
-        self.size = 0  # bytes of its answer so far
+        self.progress_at = now  # when a part of its response last arrived, was parsed or was applied
+        self.response_bytes = 0  # received so far
         self.task: asyncio.Task[bool] | None = None
 
-    def become(self, state: CallState) -> None:
-        """Changes its state."""
+    def enter(self, state: CallState) -> None:
+        """Changes the state of the call."""
         self.state = change(self.state, state, self.number)
 
-    def moved(self, now: float) -> None:
-        """It got on, which keeps other calls from being made for `longest` seconds."""
-        if now - self.began < self.longest:
-            self.moved_at = now
+    def record_progress(self, now: float) -> None:
+        """Notes progress of the response, which delays the next call until `max_delay` has passed."""
+        if now - self.started_at < self.max_delay:
+            self.progress_at = now
 
 
 class DiscoveryClient:
-    """`apply_list` gets each list, and may take it over in steps between which others are let run; it raises
-    ValueError for one that is not to be taken. `on_failure` hears of each call that failed. `max_body_bytes`:
-    bytes of an answer; `known_entries`: what is held of the list, by id.
+    """Fetches the server list and then watches for changes of it.
+
+    When a list of `version` is held already, the client requests only the changes since that version: each
+    entry of a list costs discovery work, and when many gateways start at once, or call again after a failure,
+    whole lists would keep it from responding to any of them.
 
-    With `has_list` only changes since the version are asked for: each line of a list is work for discovery,
-    and when many gateways begin at once, or ask again after a failure, whole lists keep it from answering.
+    Changes that discovery's agent has count as sent to this gateway, even if no call receives them, and
+    sending to a draining server must stop within `drain_grace`. After a call that failed or got no response,
+    the client therefore makes short calls that do not wait for a change, one of which always starts within
+    `drain_grace` of the agent's return. It opens a watch again once one of them succeeded. The client still
+    accepts the response of a late call while others follow, as discovery may only be slow.
 
-    What the agent has counts as told, also while no call hears it, and sends to a host that drains must stop
-    within `drain_grace`. So a call that failed or got no answer is followed by short ones that wait for
-    nothing, one of which always begins within `drain_grace` of the agent's return; a watch is opened again
-    once one was answered. One that is late is still listened to while others follow: discovery may be
-    slow."""
+    Args:
+        address: where discovery's agent listens.
+        version: the last version of the list received.
+        apply_list: applies a received list. It may do so in steps, between which other tasks run, and raises
+            ValueError for a list that must not be applied.
+        on_failure: called after each call that failed.
+        has_list: whether the list of `version` is held.
+        drain_grace: seconds within which sending to a draining server must stop.
+        max_body_bytes: a longer response is rejected.
+        known_entries: the entries held, by server id.
+    """
 
     def __init__(
         self,
@@ -71,163 +95,194 @@
         on_failure: Callable[[], None],
         has_list: bool = False,
         drain_grace: float = 1.0,
-        max_body_bytes: int = MOST_LIST,
+        max_body_bytes: int = DEFAULT_MAX_BODY_BYTES,
         known_entries: dict[str, ServerEntry] | None = None,
     ) -> None:
         self.address, self.version, self.has_list = address, version, has_list
         self.apply_list, self.on_failure = apply_list, on_failure
-        self.limit, self.pause = min(ANSWER, max(ANSWER_LEAST, drain_grace / 2)), GRACE_PART * drain_grace
+        self.response_timeout = min(RESPONSE_TIMEOUT, max(MIN_RESPONSE_TIMEOUT, drain_grace / 2))
+        self.max_silent_backoff = BACKOFF_GRACE_FRACTION * drain_grace
         self.max_body_bytes, self.known_entries = max_body_bytes, known_entries
-        self.well = True  # the last call was answered
-        self.costly = False  # it was not, or not as it should, and much came before that was seen
-        self.silent = False  # it got no answer at all
-        self.began = self.heard = 0  # calls so far; those that had begun when the last list was taken
-        self.resting: HttpConnection | None = None
+        self.last_call_succeeded = True
+        self.large_response_rejected = False  # the last call failed after more than LARGE_RESPONSE_BYTES
+        self.silent = False  # the last call got no response at all
+        self.calls_started = 0
+        self.calls_at_last_list = 0  # value of `calls_started` when the last list had been applied
+        self.idle_connection: HttpConnection | None = None
         self.watch_task: asyncio.Task[None] | None = None
-        self.calls: dict[asyncio.Task[bool], Call] = {}  # that are out, the oldest first
-        self.taking = asyncio.Lock()  # one list is taken over at a time
+        self.calls: dict[asyncio.Task[bool], Call] = {}  # calls that have not ended, oldest first
+        self.apply_lock = asyncio.Lock()  # one list is applied at a time
 
     async def read_body(self, target: str) -> AsyncIterator[bytes]:
-        """An answer's body as it comes in, on the resting connection if that is still good."""
-        kept, self.resting = self.resting, None
-        if kept is not None and kept.reusable:
+        """Yields the body of a response as it arrives; uses the idle connection if that is still open."""
+        connection, self.idle_connection = self.idle_connection, None
+        if connection is not None and connection.reusable:
             try:
-                async for piece in self.read_body_on(kept, target):
-                    yield piece
+                async for chunk in self.read_body_on(connection, target):
+                    yield chunk
                 return
             except ConnectionError:
-                if kept.received_data:
+                if connection.received_data:
                     raise
-        async for piece in self.read_body_on(HttpConnection(*self.address, self.max_body_bytes), target):
-            yield piece
-
-    async def read_body_on(self, conn: HttpConnection, target: str) -> AsyncIterator[bytes]:
-        async with aclosing(conn.stream(target)) as body:
-            async for piece in body:
-                yield piece
-        if conn.reusable:
-            if self.resting is not None:
-                self.resting.close()
-            self.resting = conn
-
-    async def perform_call(self, call: Call, params: dict[str, int], limit: float) -> bool:
-        """One call to its end, however it ends; whether discovery answered it as it should."""
+        async for chunk in self.read_body_on(HttpConnection(*self.address, self.max_body_bytes), target):
+            yield chunk
+
+    async def read_body_on(self, connection: HttpConnection, target: str) -> AsyncIterator[bytes]:
+        """Yields the body of a response on a given connection, and then keeps the connection if possible."""
+        async with aclosing(connection.stream(target)) as body:
+            async for chunk in body:
+                yield chunk
+        if connection.reusable:
+            if self.idle_connection is not None:
+                self.idle_connection.close()
+            self.idle_connection = connection
+
+    async def perform_call(self, call: Call, params: dict[str, int], time_limit: float) -> bool:
+        """Performs one call and handles its failure; returns whether it succeeded."""
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(limit):
-                news = await self.fetch_and_apply(call, params)
-        except Exception as err:  # whatever it is, the watch must outlive it
-            if call.number > self.heard:  # else one that began after it was answered
-                # One that is too busy or away leaves the version good; one that answers oddly does not.
+            async with asyncio.timeout(time_limit):
+                changes = await self.fetch_and_apply(call, params)
+        except Exception as err:  # the watch must go on after any failure
+            if call.number > self.calls_at_last_list:  # otherwise a call that started later has succeeded
+                # A busy or absent discovery does not invalidate the version held; a malformed response does.
                 busy = isinstance(err, StatusError) and err.status >= 500
-                self.well, self.silent = False, isinstance(err, OSError | TimeoutError)
-                self.costly = call.size > COSTLY
+                self.last_call_succeeded, self.silent = False, isinstance(err, OSError | TimeoutError)
+                self.large_response_rejected = call.response_bytes > LARGE_RESPONSE_BYTES
                 self.has_list = self.has_list and (busy or self.silent)
-                log.warning("discovery: %s %s; the last list stays", type(err).__name__, err)
+                log.warning(
+                    "discovery call failed: %s: %s; keeping the last server list", type(err).__name__, err
+                )
                 self.on_failure()
             return False
-        self.well, self.silent, self.costly = True, False, False
+        self.last_call_succeeded, self.silent, self.large_response_rejected = True, False, False
         wait = params.get("wait", 0)
-        if wait > 1 and not news and loop.time() - call.began < wait / 2000:
-            await asyncio.sleep(AGAIN)  # else one that holds no watch open would be asked all the time
+        if wait > 1 and not changes and loop.time() - call.started_at < wait / 2000:
+            await asyncio.sleep(
+                EARLY_WATCH_END_DELAY
+            )  # limits the calls to a discovery that holds no watch open
         return True
 
     async def fetch_and_apply(self, call: Call, params: dict[str, int]) -> int:
-        """One call. Returns how many entries of its answer were told."""
-        terms = "&".join(f"{name}={value}" for name, value in params.items())
-        listing = await self.read_listing(call, "/v1/endpoints" + ("?" + terms if terms else ""))
-        async with self.taking:
-            version, count = listing.version, len(listing.entries)
-            if call.number <= self.heard and version <= self.version:
-                return 0  # overtaken by one that began after it
-            if call.number > self.heard and listing.mode == "delta" and version < self.version:
-                raise ValueError("changes to an older list than the last")  # they may bring back what is gone
-            call.become(CallState.APPLYING)
-            for _ in self.apply_list(listing) or ():
+        """Sends one call and applies the list in its response.
+
+        Returns the number of entries applied: 0 for a list that is out of date because a call that started
+        later has succeeded. Raises ValueError for a response that must not be applied.
+        """
+        query = "&".join(f"{name}={value}" for name, value in params.items())
+        server_list = await self.read_server_list(call, "/v1/endpoints" + ("?" + query if query else ""))
+        async with self.apply_lock:
+            version, count = server_list.version, len(server_list.entries)
+            if call.number <= self.calls_at_last_list and version <= self.version:
+                return 0
+            if (
+                call.number > self.calls_at_last_list
+                and server_list.mode == "delta"
+                and version < self.version
+            ):
+                # These changes may add servers again that were removed since.
+                raise ValueError("changes to a version older than the last one")
+            call.enter(CallState.APPLYING)
+            for _ in self.apply_list(server_list) or ():
                 await self.let_others_run(call)
-            self.version, self.has_list, self.heard = version, True, self.began
+            self.version, self.has_list, self.calls_at_last_list = version, True, self.calls_started
         return count
 
-    async def read_listing(self, call: Call, target: str) -> ServerList:
-        """Reads an answer as it comes in; raises ValueError if it holds no list."""
-        reader = ServerListReader(held=self.known_entries)
+    async def read_server_list(self, call: Call, target: str) -> ServerList:
+        """Parses a response while it arrives; raises ValueError if it is not a server list."""
+        reader = ServerListReader(known_entries=self.known_entries)
         async with aclosing(self.read_body(target)) as body:
-            async for piece in body:
-                call.size += len(piece)
-                call.moved(asyncio.get_running_loop().time())
-                for _ in reader.feed(piece):
+            async for chunk in body:
+                call.response_bytes += len(chunk)
+                call.record_progress(asyncio.get_running_loop().time())
+                for _ in reader.feed(chunk):
                     await self.let_others_run(call)
         for _ in reader.feed(b"", final=True):
             pass
         return reader.server_list()
 
     async def let_others_run(self, call: Call) -> None:
-        call.moved(asyncio.get_running_loop().time())
+        """Notes progress of a call and yields to other tasks."""
+        call.record_progress(asyncio.get_running_loop().time())
         await asyncio.sleep(0)
 
     def start_call(self, params: dict[str, int]) -> Call:
+        """Starts a call with the given query parameters, and cancels the oldest if too many are open."""
         loop = asyncio.get_running_loop()
         wait = params.get("wait", 0) / 1000
-        self.began += 1
-        call = Call(self.began, loop.time(), wait + LONGEST_ANSWER)
-        task = call.task = loop.create_task(self.perform_call(call, params, wait + TOLD))
+        self.calls_started += 1
+        call = Call(self.calls_started, loop.time(), wait + MAX_RESPONSE_DURATION)
+        task = call.task = loop.create_task(self.perform_call(call, params, wait + CHANGE_DEADLINE))
         self.calls[task] = call
-        task.add_done_callback(self.ended)
-        if len(self.calls) > MOST_OPEN:
+        task.add_done_callback(self.call_ended)
+        if len(self.calls) > MAX_OPEN_CALLS:
             next(iter(self.calls)).cancel()
         return call
 
-    def ended(self, task: asyncio.Task[bool]) -> None:
-        """A call is over, however it ended."""
+    def call_ended(self, task: asyncio.Task[bool]) -> None:
+        """Removes a call that succeeded, failed or was cancelled."""
         call = self.calls.pop(task, None)
         if call is not None:
-            call.become(CallState.ENDED)
+            call.enter(CallState.ENDED)
+
+    async def wait_for_call(self, call: Call, max_wait: float) -> bool:
+        """Waits until a call has ended or is overdue; returns whether it has ended.
 
-    async def answered(self, call: Call, patience: float) -> bool:
-        """Waits for a call to end, or for so many seconds in which it does not get on; whether it ended."""
+        A call is overdue `max_wait` seconds after its start, or later if its response makes progress: then
+        `response_timeout` seconds after the last progress.
+        """
         assert call.task is not None
-        loop, until = asyncio.get_running_loop(), call.began + patience
+        loop, until = asyncio.get_running_loop(), call.started_at + max_wait
         while not call.task.done() and loop.time() < until:
             await asyncio.wait([call.task], timeout=until - loop.time())
-            until = max(until, call.moved_at + self.limit if call.moved_at > call.began else until)
+            until = max(
+                until,
+                call.progress_at + self.response_timeout if call.progress_at > call.started_at else until,
+            )
         return call.task.done()
 
     async def run(self) -> None:
-        pause = BACKOFF_LEAST
+        """Calls discovery until cancelled: for the whole list, for changes at once, or with a watch."""
+        backoff = MIN_BACKOFF
         while True:
             if not self.has_list:
-                call, patience = self.start_call({}), self.limit
-            elif not self.well:
-                call, patience = self.start_call({"index": self.version, "wait": 1}), self.limit
-            else:  # at once after the last answer: past 200 ms it would be a new watch
-                call = self.start_call({"index": self.version, "wait": int(WAIT * 1000)})
-                patience = WAIT + self.limit
-            done = await self.answered(call, patience)
-            if not done:
-                self.well, self.silent = False, True
-                log.warning("discovery: no answer in %.1f s; the last list stays", patience)
+                call, timeout = self.start_call({}), self.response_timeout
+            elif not self.last_call_succeeded:
+                call, timeout = self.start_call({"index": self.version, "wait": 1}), self.response_timeout
+            else:  # sent at once after the last response: after 200 ms it would count as a new watch
+                call = self.start_call({"index": self.version, "wait": int(WATCH_DURATION * 1000)})
+                timeout = WATCH_DURATION + self.response_timeout
+            ended = await self.wait_for_call(call, timeout)
+            if not ended:
+                self.last_call_succeeded, self.silent = False, True
+                log.warning("discovery did not respond within %.1f s; keeping the last server list", timeout)
                 self.on_failure()
-            if done and not call.task.cancelled() and call.task.result():
-                pause = BACKOFF_LEAST
-            else:  # gateways that failed together must not come again together
-                most = min(pause, self.pause) if self.silent else pause
-                await asyncio.sleep(most * (0.5 + random.random()))
-                pause = min(COSTLY_MOST if self.costly else BACKOFF_MOST, 2 * pause)
-
-    def watch(self, on: bool) -> None:
-        if on and self.watch_task is None:
+            if ended and not call.task.cancelled() and call.task.result():
+                backoff = MIN_BACKOFF
+            else:  # gateways whose calls failed together must not call again at the same time
+                limit = min(backoff, self.max_silent_backoff) if self.silent else backoff
+                await asyncio.sleep(limit * (0.5 + random.random()))
+                backoff = min(
+                    MAX_BACKOFF_AFTER_LARGE_RESPONSE if self.large_response_rejected else MAX_BACKOFF,
+                    2 * backoff,
+                )
+
+    def watch(self, enabled: bool) -> None:
+        """Starts or stops the watch."""
+        if enabled and self.watch_task is None:
             self.watch_task = asyncio.get_running_loop().create_task(self.run())
-        elif not on and self.watch_task is not None:
+        elif not enabled and self.watch_task is not None:
             self.watch_task.cancel()
             self.watch_task = None
 
     def fetch(self) -> None:
+        """Starts one call for the whole list."""
         self.start_call({})
 
     async def close(self) -> None:
-        """Nothing is told from now on."""
+        """Stops the watch, cancels all calls and closes the idle connection; no list is applied after that."""
         self.watch(False)
-        for call in list(self.calls):
-            call.cancel()
-        if self.resting is not None:
-            self.resting.close()
+        for task in list(self.calls):
+            task.cancel()
+        if self.idle_connection is not None:
+            self.idle_connection.close()
--- a/calicomast/net/server_list.py
+++ b/calicomast/net/server_list.py
@@ -107,7 +107,7 @@
     Args:
         path: of the entries in the text, see JsonArrayReader.
         mode: of the list, if the text does not decide it.
-        held: entries that are held now: one that says the same is not kept twice.
+        known_entries: entries that are held now: one that says the same is not kept twice.
         keep_entries: whether entries are wanted at all.
     """
 
@@ -115,13 +115,13 @@
         self,
         path: tuple[str, ...] = ("servers",),
         mode: str | None = None,
-        held: dict[str, ServerEntry] | None = None,
+        known_entries: dict[str, ServerEntry] | None = None,
         keep_entries: bool = True,
     ) -> None:
-        self.json_reader, self.mode, self.held, self.keep_entries = (
+        self.json_reader, self.mode, self.known_entries, self.keep_entries = (
             JsonArrayReader(path),
             mode,
-            held or {},
+            known_entries or {},
             keep_entries,
         )
         self.entries: dict[str, ServerEntry] = {}
@@ -147,7 +147,7 @@
             return
         name = entry.server.id
         self.repeated += name in self.entries
-        held = self.held.get(name)
+        held = self.known_entries.get(name)
         self.entries[name] = held if held == entry else entry
 
     def server_list(self) -> ServerList:
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -129,8 +129,8 @@
 
 @on_loop
 async def test_silent_discovery_is_asked_again_while_the_last_list_serves(tmp_path, monkeypatch):
-    monkeypatch.setattr(discovery, "WAIT", 0.1)
-    monkeypatch.setattr(discovery, "ANSWER", 0.2)
+    monkeypatch.setattr(discovery, "WATCH_DURATION", 0.1)
+    monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT", 0.2)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
@@ -146,7 +146,7 @@
 
 @on_loop
 async def test_a_busy_discovery_is_not_asked_for_the_whole_list(tmp_path, monkeypatch):
-    monkeypatch.setattr(discovery, "BACKOFF_MOST", 0.1)
+    monkeypatch.setattr(discovery, "MAX_BACKOFF", 0.1)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.discovery.busy = 4
         calls = [await node.discovery.calls.get() for _ in range(6)]
@@ -213,12 +213,12 @@
     agent.lists.append((0.1, 8))
     await agent.play(12.0)
     began = [at for at, _ in agent.calls]
-    assert began[0] == 0.0 and began[1] < discovery.WAIT + 1.0
+    assert began[0] == 0.0 and began[1] < discovery.WATCH_DURATION + 1.0
     calls = [query for at, query in agent.calls[1:] if at < back]
     assert all(query == {"index": "7", "wait": "1"} for query in calls)
     assert agent.heard and agent.heard[0] == (pytest.approx(agent.heard[0][0]), 8)
-    assert back <= agent.heard[0][0] < max(back, discovery.WAIT) + grace
-    assert agent.most <= discovery.MOST_OPEN + 1
+    assert back <= agent.heard[0][0] < max(back, discovery.WATCH_DURATION) + grace
+    assert agent.most <= discovery.MAX_OPEN_CALLS + 1
 
 
 FAILURES = [
@@ -273,7 +273,7 @@
     assert first == pytest.approx(takes)
     assert 10.0 < [at for at, version in agent.heard if version == 8][0] < 16.0
     versions = [version for _, version in agent.heard]
-    assert versions == sorted(versions) and agent.most <= discovery.MOST_OPEN
+    assert versions == sorted(versions) and agent.most <= discovery.MAX_OPEN_CALLS
 
 
 @in_virtual_time
--- a/tests/test_net_server_list.py
+++ b/tests/test_net_server_list.py
@@ -145,7 +145,7 @@
 def test_what_is_held_already_is_not_kept_twice():
     first = parse_server_list(text([told("h1"), told("h2")]))
     held = {e.server.id: e for e in first.entries}
-    reader = ServerListReader(held=held)
+    reader = ServerListReader(known_entries=held)
     list(reader.feed(text([told("h1"), told("h2", weight=2.0)]), final=True))
     same, other = reader.server_list().entries
     assert same is held["h1"] and other is not held["h2"]
@@ -257,7 +257,7 @@
         while "index" in await node.discovery.calls.get():
             pass  # it asks for the whole list again
         assert sendable(node) == {"h1"} and await node.ask(command()) == SERVED
-    assert "the last list stays" in caplog.text
+    assert "keeping the last server list" in caplog.text
 
 
 @on_loop
@@ -286,15 +286,17 @@
 
     async def oversized(target):
         agent.calls.append((agent.loop.time(), {}))
-        yield b" " * (discovery.COSTLY + 1)
-        raise ValueError("an answer without end")
+        yield b" " * (discovery.LARGE_RESPONSE_BYTES + 1)
+        raise ValueError("the response body exceeds the size limit")
 
     monkeypatch.setattr(agent.watch, "read_body", oversized)
     await agent.play(60.0)
     began = [at for at, _ in agent.calls]
     pauses = [round(later - at, 6) for at, later in zip(began, began[1:], strict=False)]
     assert pauses == sorted(pauses) and pauses[0] < 0.2
-    assert 2.0 < pauses[-1] < discovery.TOLD - discovery.ANSWER  # a change is heard in time
+    assert (
+        2.0 < pauses[-1] < discovery.CHANGE_DEADLINE - discovery.RESPONSE_TIMEOUT
+    )  # a change is heard in time
     assert len(began) < 30
 
 
