--- a/calicomast/net/discovery.py
+++ b/calicomast/net/discovery.py
@@ -280,7 +280,7 @@
         self.start_call({})
 
     async def close(self) -> None:
-        """Stops the watch, cancels all calls and closes the idle connection; no list is applied after that."""
+        """Stops the watch, cancels all calls and closes the idle connection. No list is applied after it."""
         self.watch(False)
         for task in list(self.calls):
             task.cancel()
--- a/calicomast/net/server_table.py
+++ b/calicomast/net/server_table.py
@@ -85,7 +85,7 @@
 
     def _changed(self, listing: ServerList) -> Generator[None, None, list[ServerEntry]]:
         """Entries of the list that say something new, and those that a whole list leaves out as gone."""
-        entries = listing.hand_over()
+        entries = listing.take_entries()
         changed, unknown = [], 0
         for number, entry in enumerate(entries):
             if number and number % COMPARED == 0:
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -39,7 +39,7 @@
         (spoilt(listen="nowhere"), "nowhere"),
         (spoilt(counter=""), "counter"),
         (spoilt(settings={}), "limits"),
-        (spoilt(known={"version": 1}), "list of hosts"),
+        (spoilt(known={"version": 1}), "not a server list"),
         (spoilt(listen="127.0.0.1:99999999"), "99999999"),
     ],
 )
--- a/tests/test_net_server_list.py
+++ b/tests/test_net_server_list.py
@@ -123,13 +123,13 @@
 def test_entries_that_cannot_be_read_harm_no_other_and_are_a_warning(caplog):
     listed = parse_server_list(text([told("h1"), *ODD, told("h2", "draining")]))
     assert [(e.server.id, e.server.state) for e in listed.entries] == [("h1", "up"), ("h2", "leaving")]
-    assert f"{len(ODD)} entries unreadable" in caplog.text and len(caplog.records) == 1
+    assert f"{len(ODD)} malformed entries" in caplog.text and len(caplog.records) == 1
 
 
 def test_of_an_id_that_is_named_twice_the_last_counts_and_a_warning_says_so(caplog):
     listed = parse_server_list(text([told("h1"), told("h2"), told("h1", "draining")]))
     assert [(e.server.id, e.server.state) for e in listed.entries] == [("h1", "leaving"), ("h2", "up")]
-    assert "1 ids twice" in caplog.text
+    assert "1 duplicate ids" in caplog.text
 
 
 def test_reading_gives_way_after_each_piece():
