--- a/calicomast/net/server_table.py
+++ b/calicomast/net/server_table.py
@@ -1,7 +1,7 @@
-"""The servers that discovery has told of, held in a compact form, and how news of them are passed on.
+"""The table of all servers that discovery has listed, and how received lists are applied to it.
 
-A long list is taken over in slices, between which the loop goes on: what stops being sent to first, then what
-is new or changed. What has not changed is not passed on.
+A long list is applied in batches, between which the event loop runs: first the servers that must no longer be
+sent to, then the new and changed ones. Unchanged servers are not passed on to the policy.
 """
 
 from __future__ import annotations
@@ -15,141 +15,152 @@
 from calicomast.net.server_list import Address, ServerEntry, ServerList, parse_address
 from calicomast.rules import Verdict, may_apply_list
 
-SLICE = 100  # servers that are passed on at once; about a millisecond's work
-COMPARED = 1000  # servers that are compared at once; about a millisecond's work
+BATCH_SIZE = 100  # servers passed on to the policy at once; takes about a millisecond
+COMPARISONS_PER_STEP = 1000  # servers compared at once; takes about a millisecond
 
 log = logging.getLogger(__name__)
 
 
 class ServerTable:
-    """All listed servers that may be sent to or drain, by id.
+    """All listed servers that may receive requests or are draining, by id.
 
     Args:
-        feed: hands an event to the decision module.
-        stop: nothing more goes to this server, nor to the address that it had.
-        started: gives a start that was just told on this gateway's clock.
+        handle_event: passes an event to the policy.
+        stop_sending: ends all sending to a server, and to the address that it had.
+        local_start_time: converts a start time that discovery has just sent to this gateway's clock.
     """
 
     def __init__(
         self,
-        feed: Callable[[api.Event], None],
-        stop: Callable[[str], None],
-        started: Callable[[float], float] = lambda told: told,
+        handle_event: Callable[[api.Event], None],
+        stop_sending: Callable[[str], None],
+        local_start_time: Callable[[float], float] = lambda reported: reported,
     ) -> None:
         self.entries: dict[str, ServerEntry] = {}
-        self._started = started
-        self._starts: dict[str, tuple[float, float]] = {}  # of servers that told one: as told, on our clock
-        self._feed, self._stop = feed, stop
-
-    def address_of(self, server: str) -> Address | None:
-        """Where a server listens; None where it is not to be sent to."""
-        entry = self.entries.get(server)
+        self._local_start_time = local_start_time
+        # Start times of the servers that have one: as reported, and on this gateway's clock.
+        self._start_times: dict[str, tuple[float, float]] = {}
+        self._handle_event, self._stop_sending = handle_event, stop_sending
+
+    def address_of(self, server_id: str) -> Address | None:
+        """Returns the address of a server, or None if requests may not be sent to it."""
+        entry = self.entries.get(server_id)
         if entry is None or not entry.address or entry.server.state != "up":
             return None
         return parse_address(entry.address)
 
-    def is_available(self, server: str) -> bool:
-        """Whether a server is one that requests may be sent to."""
-        entry = self.entries.get(server)
+    def is_available(self, server_id: str) -> bool:
+        """Returns whether requests may be sent to a server."""
+        entry = self.entries.get(server_id)
         return entry is not None and entry.server.state == "up" and bool(entry.address)
 
     def any_available(self) -> bool:
-        """Whether there is a server that requests may be sent to."""
+        """Returns whether there is a server that requests may be sent to."""
         return any(entry.address and entry.server.state == "up" for entry in self.entries.values())
 
-    def validate(self, listing: ServerList, source_current: bool = True) -> None:
-        """Raises ValueError for a list that may not be put in force. `source_current`: whether who told it is
-        still the one to listen to."""
+    def validate(self, server_list: ServerList, source_current: bool = True) -> None:
+        """Raises ValueError for a list that must not be applied.
+
+        `source_current` states whether the list comes from the discovery that is configured now.
+        """
         verdict = may_apply_list(
             source_current=source_current,
-            whole=listing.mode == "full",
-            empty=listing.empty,
+            whole=server_list.mode == "full",
+            empty=server_list.empty,
             some_held=bool(self.entries),
         )
         if verdict is not Verdict.ALLOWED:
             raise ValueError(verdict.value)
 
-    def apply(self, listing: ServerList) -> Iterator[None]:
-        """Takes a list over, slice by slice; gives way between slices."""
-        changed = yield from self._changed(listing)
-        mode, first = listing.mode, True
-        # What stops comes first: sends to it have to end soon. They are taken from the end.
+    def apply(self, server_list: ServerList) -> Iterator[None]:
+        """Applies a list in batches, and yields between them so that others can run."""
+        changed = yield from self._changed_entries(server_list)
+        mode, first = server_list.mode, True
+        # Servers that must no longer be sent to come first, as sending to them has to stop soon. Batches are
+        # taken from the end of `changed`.
         changed.reverse()
         changed.sort(key=lambda entry: entry.server.state == "up", reverse=True)
         while changed or first:
-            part = [changed.pop() for _ in range(min(SLICE, len(changed)))]
-            self._apply_batch(part, "cached" if mode == "cached" and first else "delta", listing.version)
+            batch = [changed.pop() for _ in range(min(BATCH_SIZE, len(changed)))]
+            self._apply_batch(batch, "cached" if mode == "cached" and first else "delta", server_list.version)
             first = False
             if changed:
                 yield
 
-    def _changed(self, listing: ServerList) -> Generator[None, None, list[ServerEntry]]:
-        """Entries of the list that say something new, and those that a whole list leaves out as gone."""
-        entries = listing.take_entries()
+    def _changed_entries(self, server_list: ServerList) -> Generator[None, None, list[ServerEntry]]:
+        """Returns the entries that differ from the table, and those that a whole list removes by omission."""
+        entries = server_list.take_entries()
         changed, unknown = [], 0
         for number, entry in enumerate(entries):
-            if number and number % COMPARED == 0:
+            if number and number % COMPARISONS_PER_STEP == 0:
                 yield
             held = self.entries.get(entry.server.id)
             if held == entry:
                 continue
             unknown += held is None and entry.server.state != "up"
             changed.append(entry)
-        if listing.mode != "delta":
-            changed += yield from self._left_out(entries)
-        if unknown and listing.mode == "delta":
-            log.warning("changes: %d servers that were never listed drain or are gone", unknown)
+        if server_list.mode != "delta":
+            changed += yield from self._omitted_entries(entries)
+        if unknown and server_list.mode == "delta":
+            log.warning("server list: %d servers that were never listed are draining or removed", unknown)
         return changed
 
-    def _left_out(self, entries: list[ServerEntry]) -> Generator[None, None, list[ServerEntry]]:
-        """Those held that a whole list does not name."""
+    def _omitted_entries(self, entries: list[ServerEntry]) -> Generator[None, None, list[ServerEntry]]:
+        """Returns the servers in the table that a whole list omits, as entries with state "down"."""
         if not self.entries:
             return []
-        named = {entry.server.id for entry in entries}
-        gone = []
-        for number, (name, entry) in enumerate(list(self.entries.items())):
-            if number and number % COMPARED == 0:
+        listed_ids = {entry.server.id for entry in entries}
+        omitted = []
+        for number, (server_id, entry) in enumerate(list(self.entries.items())):
+            if number and number % COMPARISONS_PER_STEP == 0:
                 yield
-            if name not in named:
-                gone.append(ServerEntry(dataclasses.replace(entry.server, state="down"), ""))
-        return gone
+            if server_id not in listed_ids:
+                omitted.append(ServerEntry(dataclasses.replace(entry.server, state="down"), ""))
+        return omitted
 
     def _apply_batch(self, entries: list[ServerEntry], mode: str, version: int) -> None:
-        """The module hears of it between new servers and those that go: what ends with a server that goes is
-        then not sent there once more."""
+        """Stores available servers, passes the batch on to the policy, then stops sending to the others.
+
+        In this order the policy knows that a server drains or is removed before the attempts there end, so it
+        does not send them to the same server again.
+        """
         for entry in entries:
             if entry.server.state == "up":
-                self._hold(entry)
-        self._feed(
-            api.HostList(mode, version, tuple([self._on_our_clock(entry.server) for entry in entries]))
+                self._store_available(entry)
+        self._handle_event(
+            api.HostList(
+                mode, version, tuple([self._with_local_start_time(entry.server) for entry in entries])
+            )
         )
         for entry in entries:
             if entry.server.state != "up":
-                self._leave(entry)
-
-    def _on_our_clock(self, host: api.Host) -> api.Host:
-        """The server with its start on this gateway's clock, worked out once for each start."""
-        if host.started == STARTED_LONG_AGO:
-            return host
-        told, started = self._starts.get(host.id, (None, 0.0))
-        if told != host.started:
-            started = self._started(host.started)
-            self._starts[host.id] = host.started, started
-        if host.state == "down":
-            del self._starts[host.id]
-        return dataclasses.replace(host, started=started)
-
-    def _hold(self, entry: ServerEntry) -> None:
+                self._store_unavailable(entry)
+
+    def _with_local_start_time(self, server: api.Host) -> api.Host:
+        """Returns the server with its start time on this gateway's clock, converted once for each start."""
+        if server.started == STARTED_LONG_AGO:
+            return server
+        reported, started = self._start_times.get(server.id, (None, 0.0))
+        if reported != server.started:
+            started = self._local_start_time(server.started)
+            self._start_times[server.id] = server.started, started
+        if server.state == "down":
+            del self._start_times[server.id]
+        return dataclasses.replace(server, started=started)
+
+    def _store_available(self, entry: ServerEntry) -> None:
+        """Stores a server that may receive requests, and stops sending to an address that it has left."""
         held = self.entries.get(entry.server.id)
-        if held is not None and not entry.address:  # it is where it was
+        if held is not None and not entry.address:  # the address is unchanged
             entry = ServerEntry(entry.server, held.address)
         elif held is not None and held.address != entry.address:
-            self._stop(entry.server.id)
+            self._stop_sending(entry.server.id)
         self.entries[entry.server.id] = entry
 
-    def _leave(self, entry: ServerEntry) -> None:
+    def _store_unavailable(self, entry: ServerEntry) -> None:
+        """Removes a server, or stores it as draining, and stops sending to it."""
         if entry.server.state == "down":
             self.entries.pop(entry.server.id, None)
         else:
             self.entries[entry.server.id] = entry
-        self._stop(entry.server.id)
+        self._stop_sending(entry.server.id)
--- a/tests/test_net_server_list.py
+++ b/tests/test_net_server_list.py
@@ -11,7 +11,7 @@
 from calicomast.net.events import Kind
 from calicomast.net.json_stream import MAX_VALUE_CHARACTERS, JsonArrayReader
 from calicomast.net.server_list import CHUNK_BYTES, ServerListReader, parse_server_list
-from calicomast.net.server_table import COMPARED, SLICE, ServerTable
+from calicomast.net.server_table import BATCH_SIZE, COMPARISONS_PER_STEP, ServerTable
 
 
 def told(name="h1", state="up", **more):
@@ -199,8 +199,10 @@
 def test_a_long_list_is_taken_over_in_slices_and_what_stops_comes_first():
     table = Table()
     steps, seen = table.take([told(f"h{n}") for n in range(1000)], mode="cached")
-    assert steps == 1000 // SLICE - 1 and [len(hosts) for _, _, hosts in seen] == [SLICE] * (1000 // SLICE)
-    assert [mode for mode, _, _ in seen] == ["cached"] + ["delta"] * (1000 // SLICE - 1)
+    assert steps == 1000 // BATCH_SIZE - 1 and [len(hosts) for _, _, hosts in seen] == [BATCH_SIZE] * (
+        1000 // BATCH_SIZE
+    )
+    assert [mode for mode, _, _ in seen] == ["cached"] + ["delta"] * (1000 // BATCH_SIZE - 1)
     left = [told(f"h{n}", "draining" if n == 500 else "up", weight=2.0) for n in range(10, 1000)]
     _, seen = table.take(left, 4)
     events = [hosts for kind, *rest in seen if kind == "delta" for hosts in rest[1:]]
@@ -212,7 +214,7 @@
 
 def test_a_long_list_that_says_nothing_new_is_compared_in_steps():
     table = Table()
-    servers = [told(f"h{n}") for n in range(5 * COMPARED)]
+    servers = [told(f"h{n}") for n in range(5 * COMPARISONS_PER_STEP)]
     table.take(servers)
     steps, seen = table.take(servers, 4)
     assert steps == 2 * 4 and seen == [("delta", 4, [])]  # four over the list, four over those that are held
@@ -234,7 +236,7 @@
     table = Table()
     table.take([told("h1")])
     table.take([told("h7", "draining"), told("h8", "removed")], full=False)
-    assert "2 servers that were never listed" in caplog.text
+    assert "2 servers that were never listed are draining or removed" in caplog.text
     assert sorted(table.table.entries) == ["h1", "h7"] and table.table.address_of("h7") is None
 
 
@@ -340,20 +342,20 @@
         while len(node.node.servers.entries) < 3001:
             assert await node.ask(command(b"r%d" % answered)) == SERVED
             answered += 1
-        assert answered > 3 and len(steps) >= 3000 // SLICE - 1
-        assert max(b - a for a, b in zip(steps, steps[1:], strict=False)) <= SLICE
+        assert answered > 3 and len(steps) >= 3000 // BATCH_SIZE - 1
+        assert max(b - a for a, b in zip(steps, steps[1:], strict=False)) <= BATCH_SIZE
 
 
 def test_pieces_and_slices_are_small_enough_to_let_others_run():
-    assert server_list.CHUNK_BYTES <= 16 * 1024 and server_table.SLICE <= 128
-    assert server_table.COMPARED <= 1000
+    assert server_list.CHUNK_BYTES <= 16 * 1024 and server_table.BATCH_SIZE <= 128
+    assert server_table.COMPARISONS_PER_STEP <= 1000
 
 
 @on_loop
 async def test_a_list_is_not_gone_on_with_once_the_configuration_names_another_discovery(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         await node.discovery.calls.get()
-        many = [entry(host, f"x{n}") for n in range(3 * SLICE)]
+        many = [entry(host, f"x{n}") for n in range(3 * BATCH_SIZE)]
         listed = parse_server_list(json.dumps({"version": 5, "full": False, "servers": many}).encode())
         slices = node.node.take_list(listed, node.node.sources)
         next(slices)
@@ -361,5 +363,5 @@
         node.node.reload(node.node.config)
         with pytest.raises(ValueError, match="replaced"):
             next(slices)
-        assert len(node.node.servers.entries) == held < 3 * SLICE
+        assert len(node.node.servers.entries) == held < 3 * BATCH_SIZE
         assert node.node.log.counts[Kind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
