--- a/tests/test_net_server_list.py
+++ b/tests/test_net_server_list.py
@@ -5,7 +5,7 @@
 
 import pytest
 from netkit import SERVED, Node, StubHost, command, entry, in_virtual_time, on_loop
-from test_net_discovery import Agent, sendable
+from test_net_discovery import DiscoverySimulation, available_servers
 
 from calicomast.net import discovery, gateway, server_list, server_table
 from calicomast.net.events import Kind
@@ -258,7 +258,7 @@
         node.discovery.changes.put_nowait([])
         while "index" in await node.discovery.calls.get():
             pass  # it asks for the whole list again
-        assert sendable(node) == {"h1"} and await node.ask(command()) == SERVED
+        assert available_servers(node) == {"h1"} and await node.ask(command()) == SERVED
     assert "keeping the last server list" in caplog.text
 
 
@@ -274,7 +274,7 @@
         node.discovery.changes.put_nowait([])
         while "index" in await node.discovery.calls.get():
             pass
-        assert sendable(node) == {"h1"} and await node.ask(command()) == SERVED
+        assert available_servers(node) == {"h1"} and await node.ask(command()) == SERVED
 
 
 def test_the_bound_on_a_list_comes_from_the_memory(tmp_path):
@@ -284,16 +284,16 @@
 
 @in_virtual_time
 async def test_a_costly_list_that_is_refused_is_asked_for_with_a_growing_pause(monkeypatch):
-    agent = Agent(monkeypatch, lambda call, at: 0.0, held=False)
+    simulation = DiscoverySimulation(monkeypatch, lambda call, at: 0.0, has_list=False)
 
     async def oversized(target):
-        agent.calls.append((agent.loop.time(), {}))
+        simulation.calls.append((simulation.loop.time(), {}))
         yield b" " * (discovery.LARGE_RESPONSE_BYTES + 1)
         raise ValueError("the response body exceeds the size limit")
 
-    monkeypatch.setattr(agent.watch, "read_body", oversized)
-    await agent.play(60.0)
-    began = [at for at, _ in agent.calls]
+    monkeypatch.setattr(simulation.client, "read_body", oversized)
+    await simulation.run(60.0)
+    began = [at for at, _ in simulation.calls]
     pauses = [round(later - at, 6) for at, later in zip(began, began[1:], strict=False)]
     assert pauses == sorted(pauses) and pauses[0] < 0.2
     assert (
@@ -304,22 +304,22 @@
 
 @in_virtual_time
 async def test_an_answer_that_still_comes_in_keeps_others_from_being_asked_for(monkeypatch):
-    agent = Agent(monkeypatch, lambda call, at: 0.0, held=False)
+    simulation = DiscoverySimulation(monkeypatch, lambda call, at: 0.0, has_list=False)
     whole = text([told("h1")], version=8)
 
     async def slow(target):
-        agent.calls.append((agent.loop.time(), {}))
+        simulation.calls.append((simulation.loop.time(), {}))
         for start in range(0, len(whole), 20):
             await discovery.asyncio.sleep(0.3)
             yield whole[start : start + 20]
 
-    monkeypatch.setattr(agent.watch, "read_body", slow)
-    agent.watch.watch(True)
+    monkeypatch.setattr(simulation.client, "read_body", slow)
+    simulation.client.watch(True)
     await discovery.asyncio.sleep(1.9)
-    assert len(agent.calls) == 1
+    assert len(simulation.calls) == 1
     await discovery.asyncio.sleep(0.5)
-    assert [version for _, version in agent.heard] == [8]
-    await agent.watch.close()
+    assert [version for _, version in simulation.received] == [8]
+    await simulation.client.close()
 
 
 @on_loop
