--- a/tests/test_net_server_list.py
+++ b/tests/test_net_server_list.py
@@ -1,4 +1,4 @@
-"""Lists of servers: read piece by piece, taken over in slices, and what is no list."""
+"""Server lists: parsed in chunks, applied in batches, and rejected if malformed."""
 
 import json
 import logging
@@ -14,50 +14,53 @@
 from calicomast.net.server_table import BATCH_SIZE, COMPARISONS_PER_STEP, ServerTable
 
 
-def told(name="h1", state="up", **more):
-    return {"id": name, "addr": "127.0.0.1:1", "zone": "a", "state": state, "started_ms": 0} | more
+def server_json(server_id="h1", state="up", **fields):
+    """Returns an entry in discovery's format."""
+    return {"id": server_id, "addr": "127.0.0.1:1", "zone": "a", "state": state, "started_ms": 0} | fields
 
 
-def text(servers, version=3, full=True, **layout):
+def list_json(servers, version=3, full=True, **layout):
+    """Returns a list as discovery sends it; `layout` holds options of json.dumps."""
     return json.dumps({"version": version, "full": full, "servers": servers}, **layout).encode()
 
 
-SERVERS = [told(f"h{n}", cell=n, zone='zóna } ] , { \\ "') for n in range(40)]
+SERVERS = [server_json(f"h{n}", cell=n, zone='zóna } ] , { \\ "') for n in range(40)]
 LAYOUTS = [dict(indent=2), dict(separators=(",", ":")), dict(ensure_ascii=False), dict(sort_keys=True)]
 
 
-def items(data, size, path=("servers",)):
+def read_items(data, chunk_size, path=("servers",)):
+    """Reads a text in chunks of one size; returns the items of the array and the other members."""
     reader = JsonArrayReader(path)
-    found = []
-    for start in range(0, len(data), size):
-        found += reader.feed(data[start : start + size])
-    found += reader.feed(b"", final=True)
-    return found, reader.members
+    items = []
+    for start in range(0, len(data), chunk_size):
+        items += reader.feed(data[start : start + chunk_size])
+    items += reader.feed(b"", final=True)
+    return items, reader.members
 
 
 @pytest.mark.parametrize("layout", LAYOUTS, ids=str)
-@pytest.mark.parametrize("size", [1, 2, 7, 100, 10**6])
-def test_items_come_out_whole_whatever_the_pieces_and_the_layout(size, layout):
-    found, members = items(text(SERVERS, **layout), size)
-    assert found == SERVERS and members == [{"version": 3, "full": True}]
+@pytest.mark.parametrize("chunk_size", [1, 2, 7, 100, 10**6])
+def test_items_do_not_depend_on_chunk_size_and_layout(chunk_size, layout):
+    items, members = read_items(list_json(SERVERS, **layout), chunk_size)
+    assert items == SERVERS and members == [{"version": 3, "full": True}]
 
 
-@pytest.mark.parametrize("size", [1, 50])
-def test_an_array_is_found_inside_of_a_member_and_members_come_in_any_order(size):
+@pytest.mark.parametrize("chunk_size", [1, 50])
+def test_nested_array_is_found_with_members_in_any_order(chunk_size):
     nested = {"a": [1, {"servers": 2}], "known": {"servers": SERVERS[:3], "version": 4}, "z": {"known": None}}
-    found, members = items(json.dumps(nested).encode(), size, ("known", "servers"))
-    assert found == SERVERS[:3]
+    items, members = read_items(json.dumps(nested).encode(), chunk_size, ("known", "servers"))
+    assert items == SERVERS[:3]
     assert members == [{"a": [1, {"servers": 2}], "z": {"known": None}}, {"version": 4}]
 
 
-def test_items_that_are_nested_or_no_objects_are_given_as_they_are():
-    odd = [{"a": {"b": [{}]}}, 5, "x}", [1, {"c": "]"}], None, {}]
-    for size in (1, 3, 1000):
-        assert items(json.dumps({"servers": odd}).encode(), size)[0] == odd
+def test_nested_items_and_items_of_other_types_are_returned_unchanged():
+    mixed = [{"a": {"b": [{}]}}, 5, "x}", [1, {"c": "]"}], None, {}]
+    for chunk_size in (1, 3, 1000):
+        assert read_items(json.dumps({"servers": mixed}).encode(), chunk_size)[0] == mixed
 
 
-def test_a_text_cut_short_at_any_place_is_no_list():
-    whole = text(SERVERS[:2])
+def test_truncated_list_is_rejected():
+    whole = list_json(SERVERS[:2])
     assert parse_server_list(whole).version == 3
     for end in range(len(whole)):
         with pytest.raises(ValueError):
@@ -65,7 +68,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         b"[]",
         b"{",
@@ -82,16 +85,16 @@
         b"{1: 2}",
         b"\xff\xfe",
         b'{"a":' + b"[" * 100_000,
-        text([{"id": "h9"}]),
+        list_json([{"id": "h9"}]),
     ],
-    ids=lambda bad: bad[:40],
+    ids=lambda malformed: malformed[:40],
 )
-def test_what_is_no_list_is_a_value_error(bad):
+def test_malformed_list_raises_value_error(malformed):
     with pytest.raises(ValueError):
-        parse_server_list(bad)
+        parse_server_list(malformed)
 
 
-def test_a_value_without_end_is_given_up_before_it_fills_the_memory():
+def test_endless_value_is_rejected_before_it_fills_the_memory():
     reader = JsonArrayReader(("servers",))
     assert not list(reader.feed(b'{"a": "'))
     fed = 0
@@ -102,168 +105,178 @@
     assert fed <= MAX_VALUE_CHARACTERS + 2 * CHUNK_BYTES
 
 
-ODD = [
+MALFORMED = [
     {"id": "h9"},
     None,
     7,
-    told("h8", weight="x"),
-    told("h8", weight=-1),
-    told("h8", weight=1e999),
-    told("h8", cell=-4),
-    told("h8", cell=10**30),
-    told("h8", started_ms=-5),
-    told("h8", addr="nowhere"),
-    told("h8", addr="127.0.0.1:99999"),
-    told("h8", state="odd"),
-    told(8),
-    told("h\ud800"),
+    server_json("h8", weight="x"),
+    server_json("h8", weight=-1),
+    server_json("h8", weight=1e999),
+    server_json("h8", cell=-4),
+    server_json("h8", cell=10**30),
+    server_json("h8", started_ms=-5),
+    server_json("h8", addr="nowhere"),
+    server_json("h8", addr="127.0.0.1:99999"),
+    server_json("h8", state="odd"),
+    server_json(8),
+    server_json("h\ud800"),
 ]
 
 
-def test_entries_that_cannot_be_read_harm_no_other_and_are_a_warning(caplog):
-    listed = parse_server_list(text([told("h1"), *ODD, told("h2", "draining")]))
-    assert [(e.server.id, e.server.state) for e in listed.entries] == [("h1", "up"), ("h2", "leaving")]
-    assert f"{len(ODD)} malformed entries" in caplog.text and len(caplog.records) == 1
+def test_malformed_entries_are_skipped_with_one_warning(caplog):
+    parsed = parse_server_list(list_json([server_json("h1"), *MALFORMED, server_json("h2", "draining")]))
+    assert [(entry.server.id, entry.server.state) for entry in parsed.entries] == [
+        ("h1", "up"),
+        ("h2", "leaving"),
+    ]
+    assert f"{len(MALFORMED)} malformed entries" in caplog.text and len(caplog.records) == 1
 
 
-def test_of_an_id_that_is_named_twice_the_last_counts_and_a_warning_says_so(caplog):
-    listed = parse_server_list(text([told("h1"), told("h2"), told("h1", "draining")]))
-    assert [(e.server.id, e.server.state) for e in listed.entries] == [("h1", "leaving"), ("h2", "up")]
+def test_last_entry_of_a_duplicate_id_counts_and_a_warning_is_logged(caplog):
+    parsed = parse_server_list(
+        list_json([server_json("h1"), server_json("h2"), server_json("h1", "draining")])
+    )
+    assert [(entry.server.id, entry.server.state) for entry in parsed.entries] == [
+        ("h1", "leaving"),
+        ("h2", "up"),
+    ]
     assert "1 duplicate ids" in caplog.text
 
 
-def test_reading_gives_way_after_each_piece():
-    data = text([told(f"h{n}") for n in range(2000)])
+def test_reader_yields_after_each_chunk():
+    data = list_json([server_json(f"h{n}") for n in range(2000)])
     reader, steps, before = ServerListReader(), 0, 0
     for _ in reader.feed(data):
         steps += 1
-        assert len(reader.entries) - before < 2 * CHUNK_BYTES / len(text([told("h1000")])) * 3
+        assert len(reader.entries) - before < 2 * CHUNK_BYTES / len(list_json([server_json("h1000")])) * 3
         before = len(reader.entries)
     assert steps == len(data) // CHUNK_BYTES
 
 
-def test_what_is_held_already_is_not_kept_twice():
-    first = parse_server_list(text([told("h1"), told("h2")]))
-    held = {e.server.id: e for e in first.entries}
-    reader = ServerListReader(known_entries=held)
-    list(reader.feed(text([told("h1"), told("h2", weight=2.0)]), final=True))
+def test_equal_entry_is_replaced_by_the_known_one():
+    first = parse_server_list(list_json([server_json("h1"), server_json("h2")]))
+    known = {entry.server.id: entry for entry in first.entries}
+    reader = ServerListReader(known_entries=known)
+    list(reader.feed(list_json([server_json("h1"), server_json("h2", weight=2.0)]), final=True))
     same, other = reader.server_list().entries
-    assert same is held["h1"] and other is not held["h2"]
+    assert same is known["h1"] and other is not known["h2"]
 
 
-class Table:
-    """A server table, with what it passes on in the order in which it does."""
+class RecordingTable:
+    """A server table that records its events and the servers that it stops sending to, in their order."""
 
     def __init__(self):
-        self.seen = []
-        self.table = ServerTable(self.feed, lambda server: self.seen.append(("stop", server)))
+        self.calls = []
+        self.table = ServerTable(self.handle_event, lambda server: self.calls.append(("stop", server)))
 
-    def feed(self, event):
-        self.seen.append((event.mode, event.version, [(h.id, h.state) for h in event.hosts]))
+    def handle_event(self, event):
+        self.calls.append((event.mode, event.version, [(server.id, server.state) for server in event.hosts]))
 
-    def take(self, servers, version=3, full=True, mode=None):
-        """Takes a list over; how often it gave way, and what was passed on."""
-        self.seen.clear()
-        listed = parse_server_list(text(servers, version, full), mode)
-        self.table.validate(listed)
-        return sum(1 for _ in self.table.apply(listed)), self.seen
+    def apply(self, servers, version=3, full=True, mode=None):
+        """Applies a list; returns how often the table yielded, and what was recorded."""
+        self.calls.clear()
+        parsed = parse_server_list(list_json(servers, version, full), mode)
+        self.table.validate(parsed)
+        return sum(1 for _ in self.table.apply(parsed)), self.calls
 
 
-def test_only_what_changed_is_passed_on_and_what_a_whole_list_leaves_out_is_gone():
-    table = Table()
-    assert table.take([told("h1"), told("h2")], mode="cached") == (
+def test_only_changes_are_passed_on_and_a_whole_list_removes_omitted_servers():
+    table = RecordingTable()
+    assert table.apply([server_json("h1"), server_json("h2")], mode="cached") == (
         0,
         [("cached", 3, [("h1", "up"), ("h2", "up")])],
     )
-    assert table.take([told("h1"), told("h2")])[1] == [("delta", 3, [])]
-    assert table.take([told("h2"), told("h3", started_ms=5000)], 4)[1] == [
+    assert table.apply([server_json("h1"), server_json("h2")])[1] == [("delta", 3, [])]
+    assert table.apply([server_json("h2"), server_json("h3", started_ms=5000)], 4)[1] == [
         ("delta", 4, [("h1", "down"), ("h3", "up")]),
         ("stop", "h1"),
     ]
     assert set(table.table.entries) == {"h2", "h3"}
 
 
-def test_a_restart_under_the_same_id_and_a_new_address_are_changes():
-    table = Table()
-    table.take([told("h1"), told("h2")])
-    assert table.take([told("h1", started_ms=7000)], full=False)[1] == [("delta", 3, [("h1", "up")])]
-    assert table.take([told("h2", addr="127.0.0.1:2")], full=False)[1] == [
+def test_restart_with_the_same_id_and_new_address_count_as_changes():
+    table = RecordingTable()
+    table.apply([server_json("h1"), server_json("h2")])
+    assert table.apply([server_json("h1", started_ms=7000)], full=False)[1] == [("delta", 3, [("h1", "up")])]
+    assert table.apply([server_json("h2", addr="127.0.0.1:2")], full=False)[1] == [
         ("stop", "h2"),
         ("delta", 3, [("h2", "up")]),
     ]
     assert table.table.address_of("h2") == ("127.0.0.1", 2)
-    assert table.take([told("h2", addr="", weight=3.0)], full=False)[1] == [("delta", 3, [("h2", "up")])]
-    assert table.table.address_of("h2") == ("127.0.0.1", 2)  # where it was
+    assert table.apply([server_json("h2", addr="", weight=3.0)], full=False)[1] == [
+        ("delta", 3, [("h2", "up")])
+    ]
+    assert table.table.address_of("h2") == ("127.0.0.1", 2)  # unchanged
 
 
-def test_a_long_list_is_taken_over_in_slices_and_what_stops_comes_first():
-    table = Table()
-    steps, seen = table.take([told(f"h{n}") for n in range(1000)], mode="cached")
-    assert steps == 1000 // BATCH_SIZE - 1 and [len(hosts) for _, _, hosts in seen] == [BATCH_SIZE] * (
+def test_long_list_is_applied_in_batches_with_drains_and_removals_first():
+    table = RecordingTable()
+    steps, calls = table.apply([server_json(f"h{n}") for n in range(1000)], mode="cached")
+    assert steps == 1000 // BATCH_SIZE - 1 and [len(servers) for _, _, servers in calls] == [BATCH_SIZE] * (
         1000 // BATCH_SIZE
     )
-    assert [mode for mode, _, _ in seen] == ["cached"] + ["delta"] * (1000 // BATCH_SIZE - 1)
-    left = [told(f"h{n}", "draining" if n == 500 else "up", weight=2.0) for n in range(10, 1000)]
-    _, seen = table.take(left, 4)
-    events = [hosts for kind, *rest in seen if kind == "delta" for hosts in rest[1:]]
-    stopping = [name for name, state in events[0] if state != "up"]
-    assert len(stopping) == 11 and "h500" in stopping
-    assert all(state == "up" for hosts in events[1:] for _, state in hosts)
+    assert [mode for mode, _, _ in calls] == ["cached"] + ["delta"] * (1000 // BATCH_SIZE - 1)
+    remaining = [server_json(f"h{n}", "draining" if n == 500 else "up", weight=2.0) for n in range(10, 1000)]
+    _, calls = table.apply(remaining, 4)
+    events = [servers for kind, *rest in calls if kind == "delta" for servers in rest[1:]]
+    unavailable = [server_id for server_id, state in events[0] if state != "up"]
+    assert len(unavailable) == 11 and "h500" in unavailable
+    assert all(state == "up" for servers in events[1:] for _, state in servers)
     assert table.table.address_of("h500") is None and table.table.address_of("h501")
 
 
-def test_a_long_list_that_says_nothing_new_is_compared_in_steps():
-    table = Table()
-    servers = [told(f"h{n}") for n in range(5 * COMPARISONS_PER_STEP)]
-    table.take(servers)
-    steps, seen = table.take(servers, 4)
-    assert steps == 2 * 4 and seen == [("delta", 4, [])]  # four over the list, four over those that are held
-    steps, seen = table.take(servers[:1], 5)
+def test_long_unchanged_list_is_compared_in_steps():
+    table = RecordingTable()
+    servers = [server_json(f"h{n}") for n in range(5 * COMPARISONS_PER_STEP)]
+    table.apply(servers)
+    steps, calls = table.apply(servers, 4)
+    assert steps == 2 * 4 and calls == [("delta", 4, [])]  # four for the list, four for the servers held
+    steps, calls = table.apply(servers[:1], 5)
     assert steps >= 4 and len(table.table.entries) == 1
 
 
-def test_a_whole_list_without_servers_is_refused_while_some_are_held():
-    table = Table()
-    table.take([])
-    table.take([told("h1")])
+def test_empty_whole_list_is_rejected_while_servers_are_held():
+    table = RecordingTable()
+    table.apply([])
+    table.apply([server_json("h1")])
     with pytest.raises(ValueError, match="without servers"):
-        table.take([])
+        table.apply([])
     assert set(table.table.entries) == {"h1"}
-    table.take([], full=False)  # no change is none
+    table.apply([], full=False)  # an empty list of changes is valid
 
 
-def test_a_drain_of_a_server_that_was_never_listed_is_a_warning_and_no_more(caplog):
-    table = Table()
-    table.take([told("h1")])
-    table.take([told("h7", "draining"), told("h8", "removed")], full=False)
+def test_drain_of_an_unknown_server_only_logs_a_warning(caplog):
+    table = RecordingTable()
+    table.apply([server_json("h1")])
+    table.apply([server_json("h7", "draining"), server_json("h8", "removed")], full=False)
     assert "2 servers that were never listed are draining or removed" in caplog.text
     assert sorted(table.table.entries) == ["h1", "h7"] and table.table.address_of("h7") is None
 
 
 BAD_BODIES = {
-    "cut short": text([told("h1")])[:-9].decode(),
+    "truncated": list_json([server_json("h1")])[:-9].decode(),
     "negative version": '{"version":-3,"full":true,"servers":[]}',
     "no servers": '{"version":9,"full":true,"servers":[]}',
-    "absurd version": '{"version":1e999,"full":true,"servers":[]}',
+    "infinite version": '{"version":1e999,"full":true,"servers":[]}',
 }
 
 
 @pytest.mark.parametrize("raw", BAD_BODIES.values(), ids=BAD_BODIES)
 @on_loop
-async def test_a_bad_list_is_a_warning_and_the_last_good_one_stays(raw, tmp_path, caplog):
+async def test_bad_list_logs_a_warning_and_the_last_good_one_is_kept(raw, tmp_path, caplog):
     caplog.set_level(logging.WARNING)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         await node.discovery.calls.get()
         node.discovery.raw = raw
         node.discovery.changes.put_nowait([])
         while "index" in await node.discovery.calls.get():
-            pass  # it asks for the whole list again
+            pass  # the gateway requests the whole list again
         assert available_servers(node) == {"h1"} and await node.ask(command()) == SERVED
     assert "keeping the last server list" in caplog.text
 
 
 @on_loop
-async def test_a_list_past_what_the_memory_allows_is_given_up_and_the_last_one_stays(tmp_path, monkeypatch):
+async def test_list_too_large_for_the_memory_is_rejected_and_the_last_one_kept(tmp_path, monkeypatch):
     monkeypatch.setattr(gateway, "LEAST_LIST", 4096)
     monkeypatch.setattr(gateway, "OWN_MEMORY", 192 * 1024 * 1024)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
@@ -277,43 +290,42 @@
         assert available_servers(node) == {"h1"} and await node.ask(command()) == SERVED
 
 
-def test_the_bound_on_a_list_comes_from_the_memory(tmp_path):
+def test_list_size_limit_depends_on_the_memory(tmp_path):
     assert gateway.list_bound(192 * 1024 * 1024) > 4 * gateway.list_bound(72 * 1024 * 1024)
     assert gateway.list_bound(16 * 1024 * 1024) == gateway.LEAST_LIST
 
 
 @in_virtual_time
-async def test_a_costly_list_that_is_refused_is_asked_for_with_a_growing_pause(monkeypatch):
+async def test_large_rejected_list_is_requested_with_growing_backoff(monkeypatch):
     simulation = DiscoverySimulation(monkeypatch, lambda call, at: 0.0, has_list=False)
 
-    async def oversized(target):
+    async def send_oversized(target):
         simulation.calls.append((simulation.loop.time(), {}))
         yield b" " * (discovery.LARGE_RESPONSE_BYTES + 1)
         raise ValueError("the response body exceeds the size limit")
 
-    monkeypatch.setattr(simulation.client, "read_body", oversized)
+    monkeypatch.setattr(simulation.client, "read_body", send_oversized)
     await simulation.run(60.0)
     began = [at for at, _ in simulation.calls]
-    pauses = [round(later - at, 6) for at, later in zip(began, began[1:], strict=False)]
-    assert pauses == sorted(pauses) and pauses[0] < 0.2
-    assert (
-        2.0 < pauses[-1] < discovery.CHANGE_DEADLINE - discovery.RESPONSE_TIMEOUT
-    )  # a change is heard in time
+    backoffs = [round(later - at, 6) for at, later in zip(began, began[1:], strict=False)]
+    assert backoffs == sorted(backoffs) and backoffs[0] < 0.2
+    # The longest backoff still lets a change be received in time.
+    assert 2.0 < backoffs[-1] < discovery.CHANGE_DEADLINE - discovery.RESPONSE_TIMEOUT
     assert len(began) < 30
 
 
 @in_virtual_time
-async def test_an_answer_that_still_comes_in_keeps_others_from_being_asked_for(monkeypatch):
+async def test_incoming_response_delays_the_next_call(monkeypatch):
     simulation = DiscoverySimulation(monkeypatch, lambda call, at: 0.0, has_list=False)
-    whole = text([told("h1")], version=8)
+    whole = list_json([server_json("h1")], version=8)
 
-    async def slow(target):
+    async def send_slowly(target):
         simulation.calls.append((simulation.loop.time(), {}))
         for start in range(0, len(whole), 20):
             await discovery.asyncio.sleep(0.3)
             yield whole[start : start + 20]
 
-    monkeypatch.setattr(simulation.client, "read_body", slow)
+    monkeypatch.setattr(simulation.client, "read_body", send_slowly)
     simulation.client.watch(True)
     await discovery.asyncio.sleep(1.9)
     assert len(simulation.calls) == 1
@@ -323,17 +335,17 @@
 
 
 @on_loop
-async def test_requests_are_answered_while_a_long_list_is_taken_over(tmp_path):
+async def test_requests_are_answered_while_a_long_list_is_applied(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         await node.discovery.calls.get()
-        steps, take = [], node.node.take_list
+        steps, take_list = [], node.node.take_list
 
-        def counted(listed):
-            for step in take(listed):
+        def record_steps(received):
+            for step in take_list(received):
                 steps.append(len(node.node.servers.entries))
                 yield step
 
-        node.node.discovery.apply_list = counted
+        node.node.discovery.apply_list = record_steps
         many = [entry(host, f"x{n}") for n in range(3000)] + [entry(host)]
         whole = json.dumps({"version": 5, "full": True, "servers": many})
         node.discovery.raw = whole
@@ -343,25 +355,25 @@
             assert await node.ask(command(b"r%d" % answered)) == SERVED
             answered += 1
         assert answered > 3 and len(steps) >= 3000 // BATCH_SIZE - 1
-        assert max(b - a for a, b in zip(steps, steps[1:], strict=False)) <= BATCH_SIZE
+        assert max(later - earlier for earlier, later in zip(steps, steps[1:], strict=False)) <= BATCH_SIZE
 
 
-def test_pieces_and_slices_are_small_enough_to_let_others_run():
+def test_chunks_and_batches_are_small_enough_to_let_others_run():
     assert server_list.CHUNK_BYTES <= 16 * 1024 and server_table.BATCH_SIZE <= 128
     assert server_table.COMPARISONS_PER_STEP <= 1000
 
 
 @on_loop
-async def test_a_list_is_not_gone_on_with_once_the_configuration_names_another_discovery(tmp_path):
+async def test_list_is_abandoned_when_the_configuration_names_another_discovery(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         await node.discovery.calls.get()
         many = [entry(host, f"x{n}") for n in range(3 * BATCH_SIZE)]
-        listed = parse_server_list(json.dumps({"version": 5, "full": False, "servers": many}).encode())
-        slices = node.node.take_list(listed, node.node.sources)
-        next(slices)
+        parsed = parse_server_list(json.dumps({"version": 5, "full": False, "servers": many}).encode())
+        steps = node.node.take_list(parsed, node.node.sources)
+        next(steps)
         held = len(node.node.servers.entries)
         node.node.reload(node.node.config)
         with pytest.raises(ValueError, match="replaced"):
-            next(slices)
+            next(steps)
         assert len(node.node.servers.entries) == held < 3 * BATCH_SIZE
         assert node.node.log.counts[Kind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
