--- a/calicomast/net/discovery.py
+++ b/calicomast/net/discovery.py
@@ -9,7 +9,7 @@
 from contextlib import aclosing
 
 from calicomast.net.http import HttpConnection, StatusError
-from calicomast.net.lifecycle import CallState, change
+from calicomast.net.lifecycle import DiscoveryCallState, transition
 from calicomast.net.server_list import Address, ServerEntry, ServerList, ServerListReader
 
 # A change counts as sent to this gateway CHANGE_DEADLINE after discovery has it, whatever became of the calls
@@ -47,14 +47,14 @@
 
     def __init__(self, number: int, now: float, max_delay: float) -> None:
         self.number, self.started_at, self.max_delay = number, now, max_delay
-        self.state = CallState.ASKED
+        self.state = DiscoveryCallState.REQUESTED
         self.progress_at = now  # when a part of its response last arrived, was parsed or was applied
         self.response_bytes = 0  # received so far
         self.task: asyncio.Task[bool] | None = None
 
-    def enter(self, state: CallState) -> None:
+    def enter(self, state: DiscoveryCallState) -> None:
         """Changes the state of the call."""
-        self.state = change(self.state, state, self.number)
+        self.state = transition(self.state, state, self.number)
 
     def record_progress(self, now: float) -> None:
         """Notes progress of the response, which delays the next call until `max_delay` has passed."""
@@ -182,7 +182,7 @@
             ):
                 # These changes may add servers again that were removed since.
                 raise ValueError("changes to a version older than the last one")
-            call.enter(CallState.APPLYING)
+            call.enter(DiscoveryCallState.APPLYING)
             for _ in self.apply_list(server_list) or ():
                 await self.let_others_run(call)
             self.version, self.has_list, self.calls_at_last_list = version, True, self.calls_started
@@ -223,7 +223,7 @@
         """Removes a call that succeeded, failed or was cancelled."""
         call = self.calls.pop(task, None)
         if call is not None:
-            call.enter(CallState.ENDED)
+            call.enter(DiscoveryCallState.ENDED)
 
     async def wait_for_call(self, call: Call, max_wait: float) -> bool:
         """Waits until a call has ended or is overdue; returns whether it has ended.
--- a/calicomast/net/server_list.py
+++ b/calicomast/net/server_list.py
@@ -37,7 +37,7 @@
 class ServerEntry(NamedTuple):
     """A server as listed, and the HOST:PORT where it listens; empty if the list did not state it."""
 
-    server: api.Host
+    server: api.Server
     address: str
 
 
@@ -45,7 +45,7 @@
 class ServerList:
     """A server list or changes to one."""
 
-    mode: str  # one of interface.MODES
+    mode: str  # one of interface.SERVER_LIST_MODES
     version: int
     entries: list[ServerEntry]
     entries_taken: bool = False  # whether `take_entries` was called
@@ -102,7 +102,7 @@
         if address and not ADDRESS_PATTERN.fullmatch(address):
             raise ValueError("addr is not HOST:PORT")
         zone, kind = self.texts(str(fields.get("zone", ""))), self.texts(str(fields.get("kind", "")))
-        server = api.Host(server_id, zone, self.cells(cell), self.weights(weight), kind, state, started)
+        server = api.Server(server_id, zone, self.cells(cell), self.weights(weight), kind, state, started)
         return ServerEntry(server, address)
 
 
--- a/calicomast/net/server_table.py
+++ b/calicomast/net/server_table.py
@@ -13,7 +13,7 @@
 from calicomast import interface as api
 from calicomast.net.clock import STARTED_LONG_AGO
 from calicomast.net.server_list import Address, ServerEntry, ServerList, parse_address
-from calicomast.rules import Verdict, may_apply_list
+from calicomast.rules import Verdict, may_apply_server_list
 
 BATCH_SIZE = 100  # servers passed on to the policy at once; takes about a millisecond
 COMPARISONS_PER_STEP = 1000  # servers compared at once; takes about a millisecond
@@ -63,11 +63,11 @@
 
         `source_current` states whether the list comes from the discovery that is configured now.
         """
-        verdict = may_apply_list(
+        verdict = may_apply_server_list(
             source_current=source_current,
-            whole=server_list.mode == "full",
-            empty=server_list.empty,
-            some_held=bool(self.entries),
+            is_complete=server_list.mode == "full",
+            is_empty=server_list.empty,
+            has_servers=bool(self.entries),
         )
         if verdict is not Verdict.ALLOWED:
             raise ValueError(verdict.value)
@@ -128,7 +128,7 @@
             if entry.server.state == "up":
                 self._store_available(entry)
         self._handle_event(
-            api.HostList(
+            api.ServerListUpdate(
                 mode, version, tuple([self._with_local_start_time(entry.server) for entry in entries])
             )
         )
@@ -136,17 +136,17 @@
             if entry.server.state != "up":
                 self._store_unavailable(entry)
 
-    def _with_local_start_time(self, server: api.Host) -> api.Host:
+    def _with_local_start_time(self, server: api.Server) -> api.Server:
         """Returns the server with its start time on this gateway's clock, converted once for each start."""
-        if server.started == STARTED_LONG_AGO:
+        if server.started_at == STARTED_LONG_AGO:
             return server
         reported, started = self._start_times.get(server.id, (None, 0.0))
-        if reported != server.started:
-            started = self._local_start_time(server.started)
-            self._start_times[server.id] = server.started, started
+        if reported != server.started_at:
+            started = self._local_start_time(server.started_at)
+            self._start_times[server.id] = server.started_at, started
         if server.state == "down":
             del self._start_times[server.id]
-        return dataclasses.replace(server, started=started)
+        return dataclasses.replace(server, started_at=started)
 
     def _store_available(self, entry: ServerEntry) -> None:
         """Stores a server that may receive requests, and stops sending to an address that it has left."""
--- a/calicomast/pending.py
+++ b/calicomast/pending.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from calicomast import interface as api
-from calicomast.quota import Account
+from calicomast.quota import TenantQuota
 
 
 @dataclass(slots=True, eq=False)
@@ -16,14 +16,14 @@
     req: api.Request
     cls: api.ServiceClass
     plan: api.Plan
-    acct: Account
+    acct: TenantQuota
     arrived: float
     deadline: float
     worth: float
     value: float  # worth a unit of work
     keys: tuple[str, ...]  # levels at which a host may fail it: wholly, for its class, for its plan
     stage: str = "units"  # units, slot, queue, sent
-    charge: float = 1.0  # against the budget of a cold server, see admission.py
+    charge: float = 1.0  # against the budget of a cold server, see slow_start.py
     level: int = 0  # of the customer's demand, as it looked here
     beyond: bool = False
     slot: int = 0  # open attempt held: own part -1, or the epoch of the shared count
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -68,7 +68,7 @@
         for _ in table.apply(parse_server_list((text % (version, port, started)).encode())):
             pass
         fake_time.step += 3600.0
-    first, second = (event.hosts[0].started for event in events)
+    first, second = (event.servers[0].started_at for event in events)
     assert first == second == pytest.approx(gateway_clock() - AGE)
 
 
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -5,7 +5,17 @@
 from urllib.parse import parse_qsl, urlsplit
 
 import pytest
-from netkit import SERVED, Node, StubDiscovery, StubHost, command, entry, in_virtual_time, on_loop, told
+from netkit import (
+    CLIENT_REPLY,
+    GatewayHarness,
+    StubDiscovery,
+    StubServer,
+    command,
+    gateway_config,
+    in_virtual_time,
+    on_loop,
+    server_entry,
+)
 
 from calicomast import interface as api
 from calicomast.net import discovery
@@ -16,33 +26,37 @@
 
 def available_servers(node):
     """Returns the ids of the servers that requests may be sent to."""
-    return {server_id for server_id in node.node.servers.entries if node.node.servers.address_of(server_id)}
+    return {
+        server_id
+        for server_id in node.service.server_table.entries
+        if node.service.server_table.address_of(server_id)
+    }
 
 
 @on_loop
 async def test_draining_server_gets_no_further_requests(tmp_path):
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
         for number in range(4):
-            await node.ask(command(b"a%d" % number))
+            await node.send_command(command(b"a%d" % number))
         await node.discovery.calls.get()
-        node.discovery.changes.put_nowait([entry(one, "h1", "draining")])
+        node.discovery.changes.put_nowait([server_entry(one, "h1", "draining")])
         while (await node.discovery.calls.get()).get("index") != "2":
             pass  # the next watch has the new version, so the change has been applied
         before = len(one.commands)
         for number in range(8):
-            assert await node.ask(command(b"b%d" % number)) == SERVED
+            assert await node.send_command(command(b"b%d" % number)) == CLIENT_REPLY
         assert len(one.commands) == before
 
 
 @on_loop
 async def test_server_moves_to_the_address_in_the_list(tmp_path):
-    async with StubHost() as old, StubHost() as new, Node(old, path=tmp_path) as node:
-        assert await node.ask(command(b"a")) == SERVED
+    async with StubServer() as old, StubServer() as new, GatewayHarness(old, path=tmp_path) as node:
+        assert await node.send_command(command(b"a")) == CLIENT_REPLY
         await node.discovery.calls.get()
-        node.discovery.changes.put_nowait([entry(new, "h1")])
+        node.discovery.changes.put_nowait([server_entry(new, "h1")])
         while (await node.discovery.calls.get()).get("index") != "2":
             pass
-        assert await node.ask(command(b"b")) == SERVED
+        assert await node.send_command(command(b"b")) == CLIENT_REPLY
         assert [received_command[2] for received_command in new.commands] == [b"b"]
 
 
@@ -57,29 +71,29 @@
 )
 @on_loop
 async def test_malformed_list_leaves_the_last_one_in_use(raw, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         await node.discovery.calls.get()
         await node.discovery.calls.get()
-        node.discovery.raw = raw
+        node.discovery.raw_response = raw
         node.discovery.changes.put_nowait([])
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
         while "index" in await node.discovery.calls.get():
             pass  # the gateway requests the whole list again
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
 async def test_malformed_entry_does_not_hide_a_drain_in_the_same_list(tmp_path):
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
         await node.discovery.calls.get()
         node.discovery.changes.put_nowait(
             [
                 {"id": "h9"},
                 None,
-                entry(two, "h8") | {"weight": "x"},
-                entry(one, "h1", "draining"),
-                entry(two, "h7") | {"addr": "nowhere"},
-                entry(two, "h6", "odd"),
+                server_entry(two, "h8") | {"weight": "x"},
+                server_entry(one, "h1", "draining"),
+                server_entry(two, "h7") | {"addr": "nowhere"},
+                server_entry(two, "h6", "odd"),
             ]
         )
         while (await node.discovery.calls.get()).get("index") != "2":
@@ -89,20 +103,20 @@
 
 @on_loop
 async def test_changes_to_an_older_version_are_rejected(tmp_path):
-    async with StubHost() as one, Node(one, path=tmp_path) as node:
+    async with StubServer() as one, GatewayHarness(one, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
-        gone = entry(one, "h1", "removed")
-        node.discovery.raw = json.dumps({"version": 0, "full": False, "servers": [gone]})
+        gone = server_entry(one, "h1", "removed")
+        node.discovery.raw_response = json.dumps({"version": 0, "full": False, "servers": [gone]})
         node.discovery.changes.put_nowait([])
         while "index" in await node.discovery.calls.get():
             pass  # the gateway requests the whole list again
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
 
 
 @on_loop
 async def test_policy_receives_a_drain_before_the_attempts_that_it_ends(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         events, done = [], asyncio.Event()
 
         class SendingPolicy:
@@ -114,17 +128,17 @@
                     return [api.Fail(event.id)]
                 return [api.Send(event.id, "h1")] if isinstance(event, api.Request) else []
 
-        node.node.module = SendingPolicy()
-        request = asyncio.create_task(node.ask(command()))
-        pool = node.node.hosts.pool("h1")
-        while not pool.coming:  # until the attempt waits for its connection
+        node.service.policy = SendingPolicy()
+        request = asyncio.create_task(node.send_command(command()))
+        pool = node.service.server_connections.pool_for("h1")
+        while not pool.connecting:  # until the attempt waits for its connection
             await asyncio.sleep(0)
         events.clear()
-        drain = {"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}
+        drain = {"version": 2, "full": False, "servers": [server_entry(host, "h1", "draining")]}
         # A short list is applied in one batch.
-        assert list(node.node.take_list(parse_server_list(json.dumps(drain).encode()))) == []
+        assert list(node.service.apply_server_list(parse_server_list(json.dumps(drain).encode()))) == []
         await done.wait()
-        assert events == [api.HostList, api.Outcome, "connect_failed"]
+        assert events == [api.ServerListUpdate, api.Outcome, "connect_failed"]
         assert (await request).startswith(b"-ERR") and not host.commands
 
 
@@ -132,28 +146,28 @@
 async def test_silent_discovery_is_called_again_while_the_last_list_is_used(tmp_path, monkeypatch):
     monkeypatch.setattr(discovery, "WATCH_DURATION", 0.1)
     monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT", 0.2)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
         node.discovery.silent = True
         for _ in range(3):  # calls without a response are repeated, for changes since the version held
             assert (await node.discovery.calls.get())["index"] == "1"
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == CLIENT_REPLY
         node.discovery.silent = False
         while "index" not in await node.discovery.calls.get():
             pass  # the gateway has opened a watch again
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
 async def test_busy_discovery_is_not_asked_for_the_whole_list(tmp_path, monkeypatch):
     monkeypatch.setattr(discovery, "MAX_BACKOFF", 0.1)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.discovery.busy = 4
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        node.discovery.busy_responses = 4
         calls = [await node.discovery.calls.get() for _ in range(6)]
         assert all(call["index"] in ("0", "1") for call in calls)
-        assert node.discovery.busy == 0
-        assert await node.ask(command()) == SERVED
+        assert node.discovery.busy_responses == 0
+        assert await node.send_command(command()) == CLIENT_REPLY
 
 
 class DiscoverySimulation:
@@ -316,20 +330,20 @@
 @on_loop
 async def test_replaced_discovery_no_longer_changes_the_list(tmp_path):
     async with (
-        StubHost() as old,
-        StubHost() as new,
+        StubServer() as old,
+        StubServer() as new,
         StubDiscovery() as new_discovery,
-        Node(old, path=tmp_path) as node,
+        GatewayHarness(old, path=tmp_path) as node,
     ):
-        new_discovery.servers = [entry(new, "h2")]
+        new_discovery.servers = [server_entry(new, "h2")]
         while "index" not in await node.discovery.calls.get():
             pass
         config_file = tmp_path / "next.json"
-        config_file.write_text(json.dumps(told([], new_discovery.port, node.counter.port)))
-        node.node.reload(read_config({"RELAY_CONFIG": str(config_file)}, again=True))
+        config_file.write_text(json.dumps(gateway_config([], new_discovery.port, node.counter.port)))
+        node.service.reload(read_config({"RELAY_CONFIG": str(config_file)}, reload=True))
         while "index" not in await new_discovery.calls.get():
             pass  # the new list has been applied, and the watch is open
-        node.discovery.changes.put_nowait([entry(old, "h1")])
+        node.discovery.changes.put_nowait([server_entry(old, "h1")])
         for _ in range(1000):  # turns of the event loop; applying an outstanding response takes far fewer
             await asyncio.sleep(0)
         assert available_servers(node) == {"h2"}
--- a/tests/test_net_http.py
+++ b/tests/test_net_http.py
@@ -5,7 +5,7 @@
 import struct
 
 import pytest
-from netkit import Served, on_loop
+from netkit import StubListener, on_loop
 
 from calicomast.net.http import HttpConnection, StatusError
 
@@ -14,7 +14,7 @@
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n"
 
 
-class ScriptedServer(Served):
+class ScriptedServer(StubListener):
     """Answers each request with the next of some responses, and then may end or reset the connection.
 
     Each response is a pair: its bytes, and "end", "reset" or "" for a connection that stays open.
--- a/tests/test_net_server_list.py
+++ b/tests/test_net_server_list.py
@@ -4,11 +4,11 @@
 import logging
 
 import pytest
-from netkit import SERVED, Node, StubHost, command, entry, in_virtual_time, on_loop
+from netkit import CLIENT_REPLY, GatewayHarness, StubServer, command, in_virtual_time, on_loop, server_entry
 from test_net_discovery import DiscoverySimulation, available_servers
 
 from calicomast.net import discovery, gateway, server_list, server_table
-from calicomast.net.events import Kind
+from calicomast.net.events import EventKind
 from calicomast.net.json_stream import MAX_VALUE_CHARACTERS, JsonArrayReader
 from calicomast.net.server_list import CHUNK_BYTES, ServerListReader, parse_server_list
 from calicomast.net.server_table import BATCH_SIZE, COMPARISONS_PER_STEP, ServerTable
@@ -170,7 +170,9 @@
         self.table = ServerTable(self.handle_event, lambda server: self.calls.append(("stop", server)))
 
     def handle_event(self, event):
-        self.calls.append((event.mode, event.version, [(server.id, server.state) for server in event.hosts]))
+        self.calls.append(
+            (event.mode, event.version, [(server.id, server.state) for server in event.servers])
+        )
 
     def apply(self, servers, version=3, full=True, mode=None):
         """Applies a list; returns how often the table yielded, and what was recorded."""
@@ -265,34 +267,36 @@
 @on_loop
 async def test_bad_list_logs_a_warning_and_the_last_good_one_is_kept(raw, tmp_path, caplog):
     caplog.set_level(logging.WARNING)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         await node.discovery.calls.get()
-        node.discovery.raw = raw
+        node.discovery.raw_response = raw
         node.discovery.changes.put_nowait([])
         while "index" in await node.discovery.calls.get():
             pass  # the gateway requests the whole list again
-        assert available_servers(node) == {"h1"} and await node.ask(command()) == SERVED
+        assert available_servers(node) == {"h1"} and await node.send_command(command()) == CLIENT_REPLY
     assert "keeping the last server list" in caplog.text
 
 
 @on_loop
 async def test_list_too_large_for_the_memory_is_rejected_and_the_last_one_kept(tmp_path, monkeypatch):
-    monkeypatch.setattr(gateway, "LEAST_LIST", 4096)
-    monkeypatch.setattr(gateway, "OWN_MEMORY", 192 * 1024 * 1024)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert node.node.most_list == 4096
+    monkeypatch.setattr(gateway, "MIN_SERVER_LIST_BYTES", 4096)
+    monkeypatch.setattr(gateway, "BASE_MEMORY_BYTES", 192 * 1024 * 1024)
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+        assert node.service.max_server_list_bytes == 4096
         await node.discovery.calls.get()
-        many = [entry(host, f"x{n}") for n in range(100)]
-        node.discovery.raw = json.dumps({"version": 5, "full": True, "servers": many})
+        many = [server_entry(host, f"x{n}") for n in range(100)]
+        node.discovery.raw_response = json.dumps({"version": 5, "full": True, "servers": many})
         node.discovery.changes.put_nowait([])
         while "index" in await node.discovery.calls.get():
             pass
-        assert available_servers(node) == {"h1"} and await node.ask(command()) == SERVED
+        assert available_servers(node) == {"h1"} and await node.send_command(command()) == CLIENT_REPLY
 
 
 def test_list_size_limit_depends_on_the_memory(tmp_path):
-    assert gateway.list_bound(192 * 1024 * 1024) > 4 * gateway.list_bound(72 * 1024 * 1024)
-    assert gateway.list_bound(16 * 1024 * 1024) == gateway.LEAST_LIST
+    assert gateway.max_server_list_bytes(192 * 1024 * 1024) > 4 * gateway.max_server_list_bytes(
+        72 * 1024 * 1024
+    )
+    assert gateway.max_server_list_bytes(16 * 1024 * 1024) == gateway.MIN_SERVER_LIST_BYTES
 
 
 @in_virtual_time
@@ -336,23 +340,23 @@
 
 @on_loop
 async def test_requests_are_answered_while_a_long_list_is_applied(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         await node.discovery.calls.get()
-        steps, take_list = [], node.node.take_list
+        steps, take_list = [], node.service.apply_server_list
 
         def record_steps(received):
             for step in take_list(received):
-                steps.append(len(node.node.servers.entries))
+                steps.append(len(node.service.server_table.entries))
                 yield step
 
-        node.node.discovery.apply_list = record_steps
-        many = [entry(host, f"x{n}") for n in range(3000)] + [entry(host)]
+        node.service.discovery.apply_list = record_steps
+        many = [server_entry(host, f"x{n}") for n in range(3000)] + [server_entry(host)]
         whole = json.dumps({"version": 5, "full": True, "servers": many})
-        node.discovery.raw = whole
+        node.discovery.raw_response = whole
         node.discovery.changes.put_nowait([])
         answered = 0
-        while len(node.node.servers.entries) < 3001:
-            assert await node.ask(command(b"r%d" % answered)) == SERVED
+        while len(node.service.server_table.entries) < 3001:
+            assert await node.send_command(command(b"r%d" % answered)) == CLIENT_REPLY
             answered += 1
         assert answered > 3 and len(steps) >= 3000 // BATCH_SIZE - 1
         assert max(later - earlier for earlier, later in zip(steps, steps[1:], strict=False)) <= BATCH_SIZE
@@ -365,15 +369,15 @@
 
 @on_loop
 async def test_list_is_abandoned_when_the_configuration_names_another_discovery(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
         await node.discovery.calls.get()
-        many = [entry(host, f"x{n}") for n in range(3 * BATCH_SIZE)]
+        many = [server_entry(host, f"x{n}") for n in range(3 * BATCH_SIZE)]
         parsed = parse_server_list(json.dumps({"version": 5, "full": False, "servers": many}).encode())
-        steps = node.node.take_list(parsed, node.node.sources)
+        steps = node.service.apply_server_list(parsed, node.service.discovery_generation)
         next(steps)
-        held = len(node.node.servers.entries)
-        node.node.reload(node.node.config)
+        held = len(node.service.server_table.entries)
+        node.service.reload(node.service.config)
         with pytest.raises(ValueError, match="replaced"):
             next(steps)
-        assert len(node.node.servers.entries) == held < 3 * BATCH_SIZE
-        assert node.node.log.counts[Kind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
+        assert len(node.service.server_table.entries) == held < 3 * BATCH_SIZE
+        assert node.service.event_log.counts[EventKind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
