--- a/tests/test_net_clock.py
+++ b/tests/test_net_clock.py
@@ -17,14 +17,14 @@
     async with StubServer() as running, StubServer() as restarted:
         async with GatewayHarness(
             running, path=tmp_path, settings={**SETTINGS, "rules": SLOW_START_RULES}
-        ) as node:
+        ) as harness:
             monkeypatch.setattr(time, "time", lambda: wall_clock() + step)  # all machines were stepped alike
             started = {"started_ms": int(1000 * (time.time() - AGE))}
-            node.discovery.changes.put_nowait([server_entry(restarted, "h2") | started])
-            balancer = node.service.policy.balancer
+            harness.discovery.changes.put_nowait([server_entry(restarted, "h2") | started])
+            balancer = harness.service.policy.balancer
             while "h2" not in balancer.servers:
                 await asyncio.sleep(0.01)
             weight = balancer.servers["h2"].slow_start_weight(
-                node.service.clock(), node.service.settings.rules
+                harness.service.clock(), harness.service.settings.rules
             )
             assert 0.2 < weight < 0.5  # 0.2 at its start, all of its capacity after 18 s
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -24,39 +24,39 @@
 from calicomast.net.server_list import parse_server_list
 
 
-def available_servers(node):
+def available_servers(harness):
     """Returns the ids of the servers that requests may be sent to."""
     return {
         server_id
-        for server_id in node.service.server_table.entries
-        if node.service.server_table.address_of(server_id)
+        for server_id in harness.service.server_table.entries
+        if harness.service.server_table.address_of(server_id)
     }
 
 
 @on_loop
 async def test_draining_server_gets_no_further_requests(tmp_path):
-    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
+    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as harness:
         for number in range(4):
-            await node.send_command(command(b"a%d" % number))
-        await node.discovery.calls.get()
-        node.discovery.changes.put_nowait([server_entry(one, "h1", "draining")])
-        while (await node.discovery.calls.get()).get("index") != "2":
+            await harness.send_command(command(b"a%d" % number))
+        await harness.discovery.calls.get()
+        harness.discovery.changes.put_nowait([server_entry(one, "h1", "draining")])
+        while (await harness.discovery.calls.get()).get("index") != "2":
             pass  # the next watch has the new version, so the change has been applied
         before = len(one.commands)
         for number in range(8):
-            assert await node.send_command(command(b"b%d" % number)) == CLIENT_REPLY
+            assert await harness.send_command(command(b"b%d" % number)) == CLIENT_REPLY
         assert len(one.commands) == before
 
 
 @on_loop
 async def test_server_moves_to_the_address_in_the_list(tmp_path):
-    async with StubServer() as old, StubServer() as new, GatewayHarness(old, path=tmp_path) as node:
-        assert await node.send_command(command(b"a")) == CLIENT_REPLY
-        await node.discovery.calls.get()
-        node.discovery.changes.put_nowait([server_entry(new, "h1")])
-        while (await node.discovery.calls.get()).get("index") != "2":
+    async with StubServer() as old, StubServer() as new, GatewayHarness(old, path=tmp_path) as harness:
+        assert await harness.send_command(command(b"a")) == CLIENT_REPLY
+        await harness.discovery.calls.get()
+        harness.discovery.changes.put_nowait([server_entry(new, "h1")])
+        while (await harness.discovery.calls.get()).get("index") != "2":
             pass
-        assert await node.send_command(command(b"b")) == CLIENT_REPLY
+        assert await harness.send_command(command(b"b")) == CLIENT_REPLY
         assert [received_command[2] for received_command in new.commands] == [b"b"]
 
 
@@ -71,22 +71,22 @@
 )
 @on_loop
 async def test_malformed_list_leaves_the_last_one_in_use(raw, tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        await node.discovery.calls.get()
-        await node.discovery.calls.get()
-        node.discovery.raw_response = raw
-        node.discovery.changes.put_nowait([])
-        assert await node.send_command(command()) == CLIENT_REPLY
-        while "index" in await node.discovery.calls.get():
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        await harness.discovery.calls.get()
+        await harness.discovery.calls.get()
+        harness.discovery.raw_response = raw
+        harness.discovery.changes.put_nowait([])
+        assert await harness.send_command(command()) == CLIENT_REPLY
+        while "index" in await harness.discovery.calls.get():
             pass  # the gateway requests the whole list again
-        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
+        assert await harness.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
 async def test_malformed_entry_does_not_hide_a_drain_in_the_same_list(tmp_path):
-    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as node:
-        await node.discovery.calls.get()
-        node.discovery.changes.put_nowait(
+    async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as harness:
+        await harness.discovery.calls.get()
+        harness.discovery.changes.put_nowait(
             [
                 {"id": "h9"},
                 None,
@@ -96,27 +96,27 @@
                 server_entry(two, "h6", "odd"),
             ]
         )
-        while (await node.discovery.calls.get()).get("index") != "2":
+        while (await harness.discovery.calls.get()).get("index") != "2":
             pass
-        assert available_servers(node) == {"h2"}
+        assert available_servers(harness) == {"h2"}
 
 
 @on_loop
 async def test_changes_to_an_older_version_are_rejected(tmp_path):
-    async with StubServer() as one, GatewayHarness(one, path=tmp_path) as node:
-        while "index" not in await node.discovery.calls.get():
+    async with StubServer() as one, GatewayHarness(one, path=tmp_path) as harness:
+        while "index" not in await harness.discovery.calls.get():
             pass
         gone = server_entry(one, "h1", "removed")
-        node.discovery.raw_response = json.dumps({"version": 0, "full": False, "servers": [gone]})
-        node.discovery.changes.put_nowait([])
-        while "index" in await node.discovery.calls.get():
+        harness.discovery.raw_response = json.dumps({"version": 0, "full": False, "servers": [gone]})
+        harness.discovery.changes.put_nowait([])
+        while "index" in await harness.discovery.calls.get():
             pass  # the gateway requests the whole list again
-        assert await node.send_command(command()) == CLIENT_REPLY
+        assert await harness.send_command(command()) == CLIENT_REPLY
 
 
 @on_loop
 async def test_policy_receives_a_drain_before_the_attempts_that_it_ends(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
         events, done = [], asyncio.Event()
 
         class SendingPolicy:
@@ -128,46 +128,46 @@
                     return [api.Fail(event.id)]
                 return [api.Send(event.id, "h1")] if isinstance(event, api.Request) else []
 
-        node.service.policy = SendingPolicy()
-        request = asyncio.create_task(node.send_command(command()))
-        pool = node.service.server_connections.pool_for("h1")
+        harness.service.policy = SendingPolicy()
+        request = asyncio.create_task(harness.send_command(command()))
+        pool = harness.service.server_connections.pool_for("h1")
         while not pool.connecting:  # until the attempt waits for its connection
             await asyncio.sleep(0)
         events.clear()
-        drain = {"version": 2, "full": False, "servers": [server_entry(host, "h1", "draining")]}
+        drain = {"version": 2, "full": False, "servers": [server_entry(server, "h1", "draining")]}
         # A short list is applied in one batch.
-        assert list(node.service.apply_server_list(parse_server_list(json.dumps(drain).encode()))) == []
+        assert list(harness.service.apply_server_list(parse_server_list(json.dumps(drain).encode()))) == []
         await done.wait()
         assert events == [api.ServerListUpdate, api.Outcome, "connect_failed"]
-        assert (await request).startswith(b"-ERR") and not host.commands
+        assert (await request).startswith(b"-ERR") and not server.commands
 
 
 @on_loop
 async def test_silent_discovery_is_called_again_while_the_last_list_is_used(tmp_path, monkeypatch):
     monkeypatch.setattr(discovery, "WATCH_DURATION", 0.1)
     monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT", 0.2)
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        while "index" not in await node.discovery.calls.get():
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        while "index" not in await harness.discovery.calls.get():
             pass
-        node.discovery.silent = True
+        harness.discovery.silent = True
         for _ in range(3):  # calls without a response are repeated, for changes since the version held
-            assert (await node.discovery.calls.get())["index"] == "1"
-        assert await node.send_command(command()) == CLIENT_REPLY
-        node.discovery.silent = False
-        while "index" not in await node.discovery.calls.get():
+            assert (await harness.discovery.calls.get())["index"] == "1"
+        assert await harness.send_command(command()) == CLIENT_REPLY
+        harness.discovery.silent = False
+        while "index" not in await harness.discovery.calls.get():
             pass  # the gateway has opened a watch again
-        assert await node.send_command(command(b"r2")) == CLIENT_REPLY
+        assert await harness.send_command(command(b"r2")) == CLIENT_REPLY
 
 
 @on_loop
 async def test_busy_discovery_is_not_asked_for_the_whole_list(tmp_path, monkeypatch):
     monkeypatch.setattr(discovery, "MAX_BACKOFF", 0.1)
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        node.discovery.busy_responses = 4
-        calls = [await node.discovery.calls.get() for _ in range(6)]
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        harness.discovery.busy_responses = 4
+        calls = [await harness.discovery.calls.get() for _ in range(6)]
         assert all(call["index"] in ("0", "1") for call in calls)
-        assert node.discovery.busy_responses == 0
-        assert await node.send_command(command()) == CLIENT_REPLY
+        assert harness.discovery.busy_responses == 0
+        assert await harness.send_command(command()) == CLIENT_REPLY
 
 
 class DiscoverySimulation:
@@ -333,17 +333,17 @@
         StubServer() as old,
         StubServer() as new,
         StubDiscovery() as new_discovery,
-        GatewayHarness(old, path=tmp_path) as node,
+        GatewayHarness(old, path=tmp_path) as harness,
     ):
         new_discovery.servers = [server_entry(new, "h2")]
-        while "index" not in await node.discovery.calls.get():
+        while "index" not in await harness.discovery.calls.get():
             pass
         config_file = tmp_path / "next.json"
-        config_file.write_text(json.dumps(gateway_config([], new_discovery.port, node.counter.port)))
-        node.service.reload(read_config({"RELAY_CONFIG": str(config_file)}, reload=True))
+        config_file.write_text(json.dumps(gateway_config([], new_discovery.port, harness.counter.port)))
+        harness.service.reload(read_config({"RELAY_CONFIG": str(config_file)}, reload=True))
         while "index" not in await new_discovery.calls.get():
             pass  # the new list has been applied, and the watch is open
-        node.discovery.changes.put_nowait([server_entry(old, "h1")])
+        harness.discovery.changes.put_nowait([server_entry(old, "h1")])
         for _ in range(1000):  # turns of the event loop; applying an outstanding response takes far fewer
             await asyncio.sleep(0)
-        assert available_servers(node) == {"h2"}
+        assert available_servers(harness) == {"h2"}
--- a/tests/test_net_server_list.py
+++ b/tests/test_net_server_list.py
@@ -267,13 +267,13 @@
 @on_loop
 async def test_bad_list_logs_a_warning_and_the_last_good_one_is_kept(raw, tmp_path, caplog):
     caplog.set_level(logging.WARNING)
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        await node.discovery.calls.get()
-        node.discovery.raw_response = raw
-        node.discovery.changes.put_nowait([])
-        while "index" in await node.discovery.calls.get():
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        await harness.discovery.calls.get()
+        harness.discovery.raw_response = raw
+        harness.discovery.changes.put_nowait([])
+        while "index" in await harness.discovery.calls.get():
             pass  # the gateway requests the whole list again
-        assert available_servers(node) == {"h1"} and await node.send_command(command()) == CLIENT_REPLY
+        assert available_servers(harness) == {"h1"} and await harness.send_command(command()) == CLIENT_REPLY
     assert "keeping the last server list" in caplog.text
 
 
@@ -281,15 +281,15 @@
 async def test_list_too_large_for_the_memory_is_rejected_and_the_last_one_kept(tmp_path, monkeypatch):
     monkeypatch.setattr(gateway, "MIN_SERVER_LIST_BYTES", 4096)
     monkeypatch.setattr(gateway, "BASE_MEMORY_BYTES", 192 * 1024 * 1024)
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        assert node.service.max_server_list_bytes == 4096
-        await node.discovery.calls.get()
-        many = [server_entry(host, f"x{n}") for n in range(100)]
-        node.discovery.raw_response = json.dumps({"version": 5, "full": True, "servers": many})
-        node.discovery.changes.put_nowait([])
-        while "index" in await node.discovery.calls.get():
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        assert harness.service.max_server_list_bytes == 4096
+        await harness.discovery.calls.get()
+        many = [server_entry(server, f"x{n}") for n in range(100)]
+        harness.discovery.raw_response = json.dumps({"version": 5, "full": True, "servers": many})
+        harness.discovery.changes.put_nowait([])
+        while "index" in await harness.discovery.calls.get():
             pass
-        assert available_servers(node) == {"h1"} and await node.send_command(command()) == CLIENT_REPLY
+        assert available_servers(harness) == {"h1"} and await harness.send_command(command()) == CLIENT_REPLY
 
 
 def test_list_size_limit_depends_on_the_memory(tmp_path):
@@ -340,23 +340,23 @@
 
 @on_loop
 async def test_requests_are_answered_while_a_long_list_is_applied(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        await node.discovery.calls.get()
-        steps, take_list = [], node.service.apply_server_list
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        await harness.discovery.calls.get()
+        steps, apply_server_list = [], harness.service.apply_server_list
 
         def record_steps(received):
-            for step in take_list(received):
-                steps.append(len(node.service.server_table.entries))
+            for step in apply_server_list(received):
+                steps.append(len(harness.service.server_table.entries))
                 yield step
 
-        node.service.discovery.apply_list = record_steps
-        many = [server_entry(host, f"x{n}") for n in range(3000)] + [server_entry(host)]
+        harness.service.discovery.apply_list = record_steps
+        many = [server_entry(server, f"x{n}") for n in range(3000)] + [server_entry(server)]
         whole = json.dumps({"version": 5, "full": True, "servers": many})
-        node.discovery.raw_response = whole
-        node.discovery.changes.put_nowait([])
+        harness.discovery.raw_response = whole
+        harness.discovery.changes.put_nowait([])
         answered = 0
-        while len(node.service.server_table.entries) < 3001:
-            assert await node.send_command(command(b"r%d" % answered)) == CLIENT_REPLY
+        while len(harness.service.server_table.entries) < 3001:
+            assert await harness.send_command(command(b"r%d" % answered)) == CLIENT_REPLY
             answered += 1
         assert answered > 3 and len(steps) >= 3000 // BATCH_SIZE - 1
         assert max(later - earlier for earlier, later in zip(steps, steps[1:], strict=False)) <= BATCH_SIZE
@@ -369,15 +369,15 @@
 
 @on_loop
 async def test_list_is_abandoned_when_the_configuration_names_another_discovery(tmp_path):
-    async with StubServer() as host, GatewayHarness(host, path=tmp_path) as node:
-        await node.discovery.calls.get()
-        many = [server_entry(host, f"x{n}") for n in range(3 * BATCH_SIZE)]
+    async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
+        await harness.discovery.calls.get()
+        many = [server_entry(server, f"x{n}") for n in range(3 * BATCH_SIZE)]
         parsed = parse_server_list(json.dumps({"version": 5, "full": False, "servers": many}).encode())
-        steps = node.service.apply_server_list(parsed, node.service.discovery_generation)
+        steps = harness.service.apply_server_list(parsed, harness.service.discovery_generation)
         next(steps)
-        held = len(node.service.server_table.entries)
-        node.service.reload(node.service.config)
+        held = len(harness.service.server_table.entries)
+        harness.service.reload(harness.service.config)
         with pytest.raises(ValueError, match="replaced"):
             next(steps)
-        assert len(node.service.server_table.entries) == held < 3 * BATCH_SIZE
-        assert node.service.event_log.counts[EventKind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
+        assert len(harness.service.server_table.entries) == held < 3 * BATCH_SIZE
+        assert harness.service.event_log.counts[EventKind.LIST_NOT_APPLIED, "discovery was replaced"] == 1
