--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -1,7 +1,8 @@
-"""The decisions of calicomast. Types, events and actions: interface.py in this folder.
+"""The decisions of a gateway. Types, events and actions are defined in interface.py in this folder.
 
-GatewayPolicy(settings, seed, now).handle(now, event) -> actions. No clock, no I/O. What a gateway may do by
-itself is its part of an amount for all; what is less than one is kept as credit or drawn as a chance.
+GatewayPolicy(settings, seed, now).handle(now, event) returns actions. It reads no clock and does no I/O.
+Where a limit holds over all gateways, each gateway acts on its share; fractions are saved up as credit or
+rounded by a random draw.
 """
 
 from __future__ import annotations
@@ -13,9 +14,9 @@
 import random
 
 from calicomast import interface as api
-from calicomast.leases import LeaseDecisions
+from calicomast.leases import LeasePolicy
 from calicomast.pending import PendingRequest
-from calicomast.quota import EWMA_WEIGHT, Call, Counter, PlanUse, TenantQuota
+from calicomast.quota import EWMA_WEIGHT, CounterCall, CounterMonitor, GrantStatistics, TenantQuota
 from calicomast.rules import RefusalReason, retry_deadline
 from calicomast.servers import (
     CONGESTION_TIME_CONSTANT,
@@ -29,42 +30,61 @@
 )
 from calicomast.slow_start import slow_start_charge
 
-LEAST_UNITS = 1e-9  # of a request; below it the mean says nothing
-GRANT_PRIOR = (0.7, 0.6, 0.4, 0.2, 0.1)  # share of tries granted at each level of demand, before any was
-QUEUE_HOLD, QUEUE_LEAST = 0.5, 4  # share of the aim spent waiting for a server; requests that always may
-IDLE_MOST = 30.0  # s; least life of an idle account
-FREED_AT_ONCE = 4  # idle accounts looked at with each request: more than come, so that they never pile up
-SHED_FAST, SHED_BACK, SHED_LEAST = 0.7, 0.15, 0.05  # 1/s down, 1/s up, least part that still passes
-RETRY_SHARE, RETRY_SPARE, RETRY_FULL = 0.1, 0.3, 0.2  # per first send; with room; price of one after `full`
-RETRY_START, RETRY_MOST = 15.0, 30.0  # retries over all gateways at the start; that may be saved up
-
-
-class GatewayPolicy(LeaseDecisions):
+MIN_MEAN_UNITS = 1e-9  # of a request; lower bound of the mean as a divisor
+# Share of requests that the counter is assumed to grant at each demand level, before any was observed.
+GRANTED_SHARE_PRIORS = (0.7, 0.6, 0.4, 0.2, 0.1)
+QUEUE_TIME_SHARE = 0.5  # part of its class's latency target that a request may wait for a server
+MIN_QUEUE_LIMIT = 4  # requests that may always wait for a server
+IDLE_TENANT_TIMEOUT = 30.0  # seconds; least time for which the quota state of an idle tenant is kept
+# Idle tenants that are checked with each request. More than one, so that they cannot pile up.
+IDLE_TENANTS_CHECKED = 4
+ADMISSION_DECREASE_RATE = 0.7  # per second; exponential decrease of the admission ratio under load shedding
+ADMISSION_INCREASE_RATE = 0.15  # per second; linear increase of the admission ratio afterwards
+MIN_ADMISSION_RATIO = 0.05
+RETRIES_PER_REQUEST = 0.1  # added to the retry budget with each first attempt
+RETRIES_PER_REQUEST_UNLOADED = 0.3  # added instead while the servers have spare capacity
+FULL_RETRY_COST = 0.2  # retries that a retry costs after the result "full"
+INITIAL_RETRIES = 15.0  # retry budget of all gateways together at the start
+MAX_SAVED_RETRIES = 30.0  # upper bound of the retry budget of all gateways together
+
+
+class GatewayPolicy(LeasePolicy):
     """All decisions of one gateway."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
-        self.set, self.born, self.rng = settings, now, random.Random(seed)
-        self.balancer, self.counter = LoadBalancer(settings, self.rng), Counter(settings)
-        self.uses = {
-            (p, level): PlanUse(now, share) for p in self.set.plans for level, share in enumerate(GRANT_PRIOR)
+        """Starts at clock time `now` without servers, leases and requests; `seed` is that of all draws."""
+        self.settings = settings
+        self.started_at = now
+        self.rng = random.Random(seed)
+        self.balancer = LoadBalancer(settings, self.rng)
+        self.counter = CounterMonitor(settings)
+        self.grant_statistics = {
+            (plan, level): GrantStatistics(now, share)
+            for plan in self.settings.plans
+            for level, share in enumerate(GRANTED_SHARE_PRIORS)
         }
         self.tenant_quotas: dict[str, TenantQuota] = {}  # in order of their last request
-        self.requests, self.queue = dict[str, PendingRequest](), list[PendingRequest]()
-        self.calls: dict[int, list[Call]] = {}  # by count name, in order of the calls
-        self.units = 0.0  # running mean of a request's
-        self.retry_budget = RETRY_START / settings.gateways
-        self.top = max(c.value for c in settings.classes.values())
-        self.checks: list[tuple[float, str]] = []  # when which request is to be looked at
+        self.requests = dict[str, PendingRequest]()
+        self.queue = list[PendingRequest]()  # requests that wait for a server, the most valuable one last
+        self.outstanding_calls: dict[int, list[CounterCall]] = {}  # by count name, oldest first
+        self.mean_units = 0.0  # moving average of a request's units
+        self.retry_budget = INITIAL_RETRIES / settings.gateways
+        self.max_class_value = max(c.value for c in settings.classes.values())
+        self.scheduled_checks: list[tuple[float, str]] = []  # heap of times and request ids
         self.timer_at = self.watch_at = math.inf
-        self.trial_at = 0.0  # when the queue is looked at for a host's next trial
-        self.pass_share, self.pass_at, self.worth = 1.0, now, 0.0  # worth: running mean of a request's
-        self.ranks: list[float] = []  # values of the latest requests
-        self.inside = self.risk = 0.0  # worth passed inside quotas; what would be lost if all unasked passed
-        self.faded_at = now
-        self.out: list[api.Action] = []
+        self.next_trial_at = 0.0  # when the queue is tried again because a server's cool-down ends
+        self.admission_ratio = 1.0  # part of the requests that load shedding admits
+        self.admission_ratio_at = now
+        self.mean_value = 0.0  # moving average of a request's value
+        self.recent_values: list[float] = []  # values per work of the latest requests
+        self.value_within_quota = 0.0
+        self.value_at_risk = 0.0
+        self.decayed_at = now
+        self.actions: list[api.Action] = []
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        self.out = []
+        """Handles one event at clock time `now` and returns the actions to carry out."""
+        self.actions = []
         self.balancer.now = now
         self.balancer.continue_view_rebuild()
         match event:
@@ -73,332 +93,439 @@
             case api.Outcome():
                 self.on_outcome(now, event)
             case api.CounterResult():
-                self.counted(now, event)
+                self.on_counted(now, event)
             case api.TimerExpired():
-                self.tick(now)
+                self.on_timer(now)
             case api.ServerListUpdate():
                 self.balancer.apply_server_list(now, event)
                 if event.mode == "failed":
                     self.watch_at = now + 1.0
-                elif event.mode == "cached" and self.set.discovery == "ask":
-                    self.out.append(api.WatchServerList(True))
+                elif event.mode == "cached" and self.settings.discovery == "ask":
+                    self.actions.append(api.WatchServerList(True))
             case api.AttemptStarted() if event.id in self.requests:
                 self.requests[event.id].streaming = True
             case api.ClientDisconnected() if event.id in self.requests:
                 self.finish(now, self.requests[event.id])
         self.drain_queue(now)
-        while self.checks and self.checks[0][1] not in self.requests:
-            heapq.heappop(self.checks)
-        trial = self.trial_at if self.queue and self.trial_at > now else math.inf
-        scan = now + TICK if self.balancer.membership.is_rebuilding else math.inf
-        at = min(self.checks[0][0] if self.checks else math.inf, self.watch_at, trial, scan)
-        if at < self.timer_at:  # what is due next; nothing when idle
-            self.timer_at = at
-            self.out.append(api.SetTimer(max(0.0, at - now), 0))
-        return self.out
+        while self.scheduled_checks and self.scheduled_checks[0][1] not in self.requests:
+            heapq.heappop(self.scheduled_checks)
+        trial = self.next_trial_at if self.queue and self.next_trial_at > now else math.inf
+        update = now + TICK if self.balancer.membership.is_rebuilding else math.inf
+        next_at = min(
+            self.scheduled_checks[0][0] if self.scheduled_checks else math.inf, self.watch_at, trial, update
+        )
+        if next_at < self.timer_at:  # never while nothing is scheduled
+            self.timer_at = next_at
+            self.actions.append(api.SetTimer(max(0.0, next_at - now), 0))
+        return self.actions
 
     def on_request(self, now: float, req: api.Request) -> None:
-        cls, plan = self.set.classes[req.service_class], self.set.plans[req.plan]
-        acct = self.tenant_quotas.pop(req.tenant, None)
-        if acct is None:
-            acct = TenantQuota(req, plan, self.born, now, self.rng)
-        self.tenant_quotas[req.tenant], acct.seen_at = acct, now
-        self.free_accounts(now)
-        worth = cls.value * plan.value_factor * req.units
-        self.worth += (EWMA_WEIGHT if self.worth else 1.0) * (worth - self.worth)
-        value = worth / max(self.balancer.mean_latency[cls.name], 1e-6)
-        keys = ("server", "class " + cls.name, "plan " + plan.name)
-        pending = PendingRequest(req, cls, plan, acct, now, now + req.remaining_time, worth, value, keys)
+        """Handles a new request: refuses it at once, or starts with its quota or its concurrency slot."""
+        service_class, plan = self.settings.classes[req.service_class], self.settings.plans[req.plan]
+        tenant = self.tenant_quotas.pop(req.tenant, None)
+        if tenant is None:
+            tenant = TenantQuota(req, plan, self.started_at, now, self.rng)
+        self.tenant_quotas[req.tenant], tenant.last_request_at = tenant, now
+        self.drop_idle_tenants(now)
+        value = service_class.value * plan.value_factor * req.units
+        self.mean_value += (EWMA_WEIGHT if self.mean_value else 1.0) * (value - self.mean_value)
+        value_per_work = value / max(self.balancer.mean_latency[service_class.name], 1e-6)
+        failure_keys = ("server", "class " + service_class.name, "plan " + plan.name)
+        pending = PendingRequest(
+            req,
+            service_class,
+            plan,
+            tenant,
+            now,
+            now + req.remaining_time,
+            value,
+            value_per_work,
+            failure_keys,
+        )
         self.requests[req.id] = pending
-        pending.charge = slow_start_charge(self.work(pending), self.rng.random())
-        if req.remaining_time < 2 * TICK:  # no check would come round in time
+        pending.charge = slow_start_charge(self.relative_work(pending), self.rng.random())
+        if req.remaining_time < 2 * TICK:  # no scheduled check would run in time
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
-        elif self.shed(now, pending):
+        elif self.should_shed(now, pending):
             self.refuse(now, pending, RefusalReason.LOAD_SHED)
-        elif acct.available_ceiling_units(now) < req.units:
-            wait = (req.units - acct.cap) * acct.spread / plan.ceiling_rate
+        elif tenant.available_ceiling_units(now) < req.units:
+            wait = (req.units - tenant.ceiling_units) * tenant.spread / plan.ceiling_rate
             self.refuse(now, pending, RefusalReason.CEILING_REACHED, wait)
         elif plan.rate:
-            self.want_units(now, pending)
+            self.request_units(now, pending)
         else:
-            self.want_slot(now, pending)
+            self.take_slot(now, pending)
 
-    def work(self, pending: PendingRequest) -> float:
-        """What a request is expected to take, over the mean: units tell it where requests differ in them."""
+    def relative_work(self, pending: PendingRequest) -> float:
+        """Returns the expected work of a request in requests of mean work.
+
+        It follows from the units where the settings allow requests to differ in them, otherwise from the mean
+        response time of the class.
+        """
         units = pending.req.units
-        self.units += (EWMA_WEIGHT if self.units else 1.0) * (units - self.units)
-        if self.set.max_request_units > 1:
-            return units / max(self.units, LEAST_UNITS)
-        return self.balancer.mean_latency[pending.cls.name] / max(
+        self.mean_units += (EWMA_WEIGHT if self.mean_units else 1.0) * (units - self.mean_units)
+        if self.settings.max_request_units > 1:
+            return units / max(self.mean_units, MIN_MEAN_UNITS)
+        return self.balancer.mean_latency[pending.service_class.name] / max(
             self.balancer.mean_service_time, MIN_SERVICE_TIME
         )
 
-    def free_accounts(self, now: float) -> None:
-        """Many customers come only once. Past its windows an account tells no more than a new one would."""
-        for oldest in list(itertools.islice(self.tenant_quotas.values(), FREED_AT_ONCE)):
-            if now - oldest.seen_at <= max(IDLE_MOST, 3 * oldest.window_length):
+    def drop_idle_tenants(self, now: float) -> None:
+        """Drops the quota state of tenants that have been idle for long; many tenants come only once.
+
+        Once its windows are over, a tenant's state holds nothing that a new one would not.
+        """
+        for oldest in list(itertools.islice(self.tenant_quotas.values(), IDLE_TENANTS_CHECKED)):
+            if now - oldest.last_request_at <= max(IDLE_TENANT_TIMEOUT, 3 * oldest.window_length):
                 return
             del self.tenant_quotas[oldest.name]
-            if oldest.call or oldest.open_here or oldest.waiting:  # a busy one holds up none behind it
-                self.tenant_quotas[oldest.name], oldest.seen_at = oldest, now
-
-    def shed(self, now: float, pending: PendingRequest) -> bool:
-        """While answers come from servers that hold too much, what is worth least a unit of work is refused,
-        whatever the cause: one gateway of many has too few out for a limit of its own to relieve them."""
-        ranks = self.ranks = [*self.ranks[-63:], pending.value]
-        step, balancer, self.pass_at = now - self.pass_at, self.balancer, now
+            # A tenant that is still in use moves to the end, so that it does not block those behind it.
+            if oldest.outstanding_call or oldest.own_slots_in_use or oldest.waiting:
+                self.tenant_quotas[oldest.name], oldest.last_request_at = oldest, now
+
+    def should_shed(self, now: float, pending: PendingRequest) -> bool:
+        """Returns whether to shed a request while many responses come from congested servers.
+
+        Requests with the least value per unit of work are shed first, whatever causes the congestion. With
+        many gateways, each one has too few attempts out for a limit of its own to relieve the servers.
+        """
+        values = self.recent_values = [*self.recent_values[-63:], pending.value_per_work]
+        elapsed, balancer, self.admission_ratio_at = now - self.admission_ratio_at, self.balancer, now
         if (
             balancer.congested_share
             * math.exp(min(0.0, (balancer.last_answer_at + 1 - now) / CONGESTION_TIME_CONSTANT))
             > SHEDDING_THRESHOLD
         ):
-            self.pass_share = max(SHED_LEAST, self.pass_share * math.exp(-SHED_FAST * min(step, 1.0)))
+            self.admission_ratio = max(
+                MIN_ADMISSION_RATIO,
+                self.admission_ratio * math.exp(-ADMISSION_DECREASE_RATE * min(elapsed, 1.0)),
+            )
         else:
-            self.pass_share = min(1.0, self.pass_share + SHED_BACK * step)
-        luck, most = (
-            self.rng.random(),
-            (1 - self.pass_share) * len(ranks) * (self.set.gateways > MAX_ATTEMPTS_PER_SERVER),
+            self.admission_ratio = min(1.0, self.admission_ratio + ADMISSION_INCREASE_RATE * elapsed)
+        draw = self.rng.random()
+        shed_count = (
+            (1 - self.admission_ratio) * len(values) * (self.settings.gateways > MAX_ATTEMPTS_PER_SERVER)
+        )
+        return (
+            shed_count > 0
+            and draw * values.count(pending.value_per_work) + sum(v < pending.value_per_work for v in values)
+            < shed_count
         )
-        return most > 0 and luck * ranks.count(pending.value) + sum(v < pending.value for v in ranks) < most
 
     def handle_over_quota(
         self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0
     ) -> None:
-        clear = (
+        """Handles a request that is over quota: admits it if that earns something and capacity is spare,
+        otherwise refuses it; the client may retry after `wait` seconds.
+        """
+        unloaded = (
             self.balancer.mean_server_load() < SPARE_CAPACITY_SHARE * MAX_ATTEMPTS_PER_SERVER
             and not self.queue
         )
-        if pending.plan.over_quota_value > pending.plan.over_quota_cost and clear:
-            pending.beyond = True
+        if pending.plan.over_quota_value > pending.plan.over_quota_cost and unloaded:
+            pending.over_quota = True
             self.enqueue(now, pending)
         else:
             self.refuse(now, pending, reason, wait)
 
     def enqueue(self, now: float, pending: PendingRequest) -> None:
-        acct, units = pending.acct, pending.req.units
-        if acct.available_ceiling_units(now) < units:
+        """Queues a request that has its units and its concurrency slot, and sends it if possible."""
+        tenant, units = pending.tenant, pending.req.units
+        if tenant.available_ceiling_units(now) < units:
             self.refuse(now, pending, RefusalReason.CEILING_REACHED)
             return
-        acct.cap -= units  # spent before sending
-        self.line_up(pending)
-        most = max(QUEUE_LEAST, self.balancer.send_rate(now) * QUEUE_HOLD * pending.cls.latency_target)
-        self.queue = [j for j in self.queue if not j.done] if len(self.queue) > most else self.queue
-        # What waits for this machine waits for a moment only: that is no overload.
-        if len(self.queue) > most and now >= self.balancer.local_backoff_until:
+        tenant.ceiling_units -= units  # spent before the request is sent
+        self.insert_into_queue(pending)
+        limit = max(
+            MIN_QUEUE_LIMIT,
+            self.balancer.send_rate(now) * QUEUE_TIME_SHARE * pending.service_class.latency_target,
+        )
+        self.queue = (
+            [each for each in self.queue if not each.finished] if len(self.queue) > limit else self.queue
+        )
+        # During the short backoff after a local error the queue grows without any overload.
+        if len(self.queue) > limit and now >= self.balancer.local_backoff_until:
             self.refuse(now, self.queue.pop(0), RefusalReason.QUEUE_FULL)
         self.drain_queue(now)
-        if pending.stage == "queue" and not pending.done:
-            self.check_at(pending.arrived + self.hold(pending), pending)
+        if pending.stage == "queue" and not pending.finished:
+            self.schedule_check(pending.arrived_at + self.max_queue_time(pending), pending)
 
-    def line_up(self, pending: PendingRequest) -> None:
+    def insert_into_queue(self, pending: PendingRequest) -> None:
+        """Inserts a request into the queue, ordered by quota and value per work."""
         pending.stage = "queue"
-        bisect.insort(self.queue, pending, key=lambda j: (not j.beyond, j.value))
+        bisect.insort(self.queue, pending, key=lambda each: (not each.over_quota, each.value_per_work))
 
-    def hold(self, pending: PendingRequest) -> float:
-        """How long after its arrival a request may wait for a server: while it can still be sent with use,
-        and its refusal comes in the first half of its time. Of those not sent yet, there are many."""
-        useful = max(0.0, pending.cls.latency_target - self.balancer.mean_latency[pending.cls.name])
-        share = 1.0 if pending.sends else QUEUE_HOLD
-        return min(useful, (pending.deadline - pending.arrived) / 2, pending.cls.latency_target * share)
+    def max_queue_time(self, pending: PendingRequest) -> float:
+        """Returns for how many seconds after its arrival a request may wait for a server.
 
-    def refuse(self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0) -> None:
-        ran = pending.cls.effect != "safe" and (pending.cls.effect, pending.cls.dedup_scope) != (
-            "keyed",
-            "all",
+        An attempt that begins later would probably miss the latency target of the class, and a refusal should
+        come in the first half of the time until the deadline. Requests without an attempt so far wait for
+        QUEUE_TIME_SHARE of the target only, as there are many of them.
+        """
+        useful = max(
+            0.0, pending.service_class.latency_target - self.balancer.mean_latency[pending.service_class.name]
         )
-        if not (ran and (pending.ran or pending.live)):
-            most = self.set.limits.max_retry_after if self.set.limits.retry_after else 0.0
-            self.out.append(api.Refuse(pending.req.id, min(max(wait, 0.0), most), reason.value))
+        share = 1.0 if pending.attempts_sent else QUEUE_TIME_SHARE
+        return min(
+            useful, (pending.deadline - pending.arrived_at) / 2, pending.service_class.latency_target * share
+        )
+
+    def refuse(self, now: float, pending: PendingRequest, reason: RefusalReason, wait: float = 0.0) -> None:
+        """Gives a request up: refuses it if a retry after `wait` seconds is safe, otherwise fails it."""
+        unrepeatable = pending.service_class.effect != "safe" and (
+            pending.service_class.effect,
+            pending.service_class.dedup_scope,
+        ) != ("keyed", "all")
+        if not (unrepeatable and (pending.may_have_run or pending.live_attempts)):
+            max_wait = self.settings.limits.max_retry_after if self.settings.limits.retry_after else 0.0
+            self.actions.append(api.Refuse(pending.req.id, min(max(wait, 0.0), max_wait), reason.value))
         else:
-            self.out.append(api.Fail(pending.req.id, reason.value))
+            self.actions.append(api.Fail(pending.req.id, reason.value))
         self.finish(now, pending)
 
     def finish(self, now: float, pending: PendingRequest) -> None:
-        pending.done = True
+        """Removes a request that is answered or abandoned: cancels its attempts and releases its slot."""
+        pending.finished = True
         self.requests.pop(pending.req.id, None)
-        self.out += [api.Cancel(pending.req.id, number) for number in pending.live if self.set.limits.cancel]
-        if pending.slot > 0:
-            self.count_open(pending.acct, pending.slot, -1)
-        pending.acct.open_here -= pending.slot < 0
-
-    def is_eligible(self, pending: PendingRequest, s: ServerState, now: float) -> bool:
-        unproven = pending.ran + list(pending.live.values())
-        if s.info.id in pending.avoid or not unproven or pending.cls.effect == "safe":
-            return s.info.id not in pending.avoid
-        if pending.cls.effect == "unsafe" or now >= self.retry_deadline(pending):
+        self.actions += [
+            api.Cancel(pending.req.id, number)
+            for number in pending.live_attempts
+            if self.settings.limits.cancel
+        ]
+        if pending.held_slot > 0:
+            self.count_concurrent_request(pending.tenant, pending.held_slot, -1)
+        pending.tenant.own_slots_in_use -= pending.held_slot < 0
+
+    def is_eligible(self, pending: PendingRequest, server: ServerState, now: float) -> bool:
+        """Returns whether a request may be sent to a server, given its attempts that may have run.
+
+        A keyed request may be retried only within the scope and the time in which servers discard duplicates,
+        an unsafe one only if no attempt may have run.
+        """
+        unproven = pending.may_have_run + list(pending.live_attempts.values())
+        if (
+            server.info.id in pending.excluded_servers
+            or not unproven
+            or pending.service_class.effect == "safe"
+        ):
+            return server.info.id not in pending.excluded_servers
+        if pending.service_class.effect == "unsafe" or now >= self.retry_deadline(pending):
             return False
-        known, scope = [self.balancer.server_info(h) for h, _ in unproven], pending.cls.dedup_scope
+        known = [self.balancer.server_info(name) for name, _ in unproven]
+        scope = pending.service_class.dedup_scope
         if None in known:
             return False
         if scope == "all":
             return True
-        place = (lambda h: h.zone) if scope == "zone" else (lambda h: h.cell)
-        return all(place(h) == place(s.info) for h in known)
+        group = (lambda info: info.zone) if scope == "zone" else (lambda info: info.cell)
+        return all(group(info) == group(server.info) for info in known)
 
     def retry_deadline(self, pending: PendingRequest) -> float:
-        """Until when a further attempt may be written; no bound where none before may have run."""
-        unproven = pending.ran + list(pending.live.values())
-        if pending.cls.effect == "safe" or not unproven:
+        """Returns until when a further attempt may be written; infinite if no attempt may have run."""
+        unproven = pending.may_have_run + list(pending.live_attempts.values())
+        if pending.service_class.effect == "safe" or not unproven:
             return math.inf
-        return retry_deadline(min(sent for _, sent in unproven), pending.cls.dedup_window)
+        return retry_deadline(min(sent_at for _, sent_at in unproven), pending.service_class.dedup_window)
 
-    def admits_delayed_attempt(self, now: float, id: str, number: int, server: str) -> bool:
-        """Whether an attempt at a cold server, whose connection came up late, may still be written."""
-        pending, s = self.requests.get(id), self.balancer.servers.get(server)
-        if pending is None or s is None:
+    def admits_delayed_attempt(self, now: float, request_id: str, number: int, server_id: str) -> bool:
+        """Returns whether an attempt at a server in slow start may be written to a delayed connection."""
+        pending, server = self.requests.get(request_id), self.balancer.servers.get(server_id)
+        if pending is None or server is None:
             return False
-        return self.balancer.admits_delayed_write(s, (id, number), now, pending.charge)
-
-    def choose(self, now: float, pending: PendingRequest) -> ServerState | None:
-        if not pending.avoid:
-            return self.balancer.pick_server(now, pending.keys, None, pending.charge)
-        mates = self.cell_mates(pending)
-        if mates is not None:
-            fit = [s for s in mates if self.is_eligible(pending, s, now)]
-            return self.balancer.best_server(now, pending.keys, fit, pending.charge)
+        return self.balancer.admits_delayed_write(server, (request_id, number), now, pending.charge)
+
+    def choose_server(self, now: float, pending: PendingRequest) -> ServerState | None:
+        """Returns the best eligible server for the next attempt, or None if no server can take it now."""
+        if not pending.excluded_servers:
+            return self.balancer.pick_server(now, pending.failure_keys, None, pending.charge)
+        peers = self.cell_peers(pending)
+        if peers is not None:
+            eligible = [server for server in peers if self.is_eligible(pending, server, now)]
+            return self.balancer.best_server(now, pending.failure_keys, eligible, pending.charge)
         return self.balancer.pick_server(
-            now, pending.keys, lambda s: self.is_eligible(pending, s, now), pending.charge
+            now, pending.failure_keys, lambda server: self.is_eligible(pending, server, now), pending.charge
         )
 
-    def cell_mates(self, pending: PendingRequest) -> list[ServerState] | None:
-        """The servers of the cell that another attempt is bound to, where not all are in view; else None."""
-        tried = [name for name, _ in [*pending.ran, *pending.live.values()]]
-        bound = (pending.cls.effect, pending.cls.dedup_scope) == (
+    def cell_peers(self, pending: PendingRequest) -> list[ServerState] | None:
+        """Returns the servers of the cell to which earlier attempts bind a request.
+
+        None if the request is not bound to a cell, or if all servers are in view anyway.
+        """
+        tried = [name for name, _ in [*pending.may_have_run, *pending.live_attempts.values()]]
+        bound = (pending.service_class.effect, pending.service_class.dedup_scope) == (
             "keyed",
             "cell",
         ) and self.balancer.membership.has_partial_view
-        host = self.balancer.server_info(tried[0]) if bound and tried else None
-        return self.balancer.servers_in_cell(host.cell) if host is not None else None
+        info = self.balancer.server_info(tried[0]) if bound and tried else None
+        return self.balancer.servers_in_cell(info.cell) if info is not None else None
 
     def send_attempt(self, now: float, pending: PendingRequest) -> bool:
-        if pending.begun >= self.set.limits.max_attempts or pending.streaming:
+        """Sends an attempt; returns False if the request may have no further one or no server is free."""
+        if pending.attempts_begun >= self.settings.limits.max_attempts or pending.streaming:
             return False
-        s = self.choose(now, pending) if self.set.limits.hedging or not pending.live else None
-        if s is None:
+        server = (
+            self.choose_server(now, pending)
+            if self.settings.limits.hedging or not pending.live_attempts
+            else None
+        )
+        if server is None:
             return False
-        cold = s.slow_start is not None and s.slow_start_weight(now, self.set.rules) < 1.0
-        self.out.append(api.Send(pending.req.id, s.info.id, 0, self.retry_deadline(pending), cold))
-        pending.live[pending.sends] = (s.info.id, now)
-        self.balancer.record_send(s, (pending.req.id, pending.sends), now, pending.charge)
-        pending.sends += 1
-        pending.avoid.add(s.info.id)
+        in_slow_start = (
+            server.slow_start is not None and server.slow_start_weight(now, self.settings.rules) < 1.0
+        )
+        self.actions.append(
+            api.Send(pending.req.id, server.info.id, 0, self.retry_deadline(pending), in_slow_start)
+        )
+        pending.live_attempts[pending.attempts_sent] = (server.info.id, now)
+        self.balancer.record_send(server, (pending.req.id, pending.attempts_sent), now, pending.charge)
+        pending.attempts_sent += 1
+        pending.excluded_servers.add(server.info.id)
         pending.stage = "sent"
-        self.check_at(now + self.balancer.hedge_delay(pending.cls.name), pending)
+        self.schedule_check(now + self.balancer.hedge_delay(pending.service_class.name), pending)
         return True
 
     def drain_queue(self, now: float) -> None:
-        # Classes that no server has room for, by whether a cold one's place holds their work; what was tried
-        # before has fewer left.
-        stuck: set[tuple[str, bool]] = set()
+        """Sends queued requests, the most valuable ones first, as far as servers have capacity."""
+        # Classes for which no server has capacity, each with whether the work exceeds a place at a server in
+        # slow start. Only first attempts count here, since retries have fewer servers to go to.
+        blocked: set[tuple[str, bool]] = set()
         for pending in self.queue[::-1] if self.queue and self.balancer.has_capacity(now) else ():
-            first = not pending.sends
-            if not pending.done:
-                kind = (pending.cls.name, pending.charge > 1.0)
-                if kind in stuck or not self.send_attempt(now, pending):
-                    stuck.update([kind] * first)
+            first = not pending.attempts_sent
+            if not pending.finished:
+                kind = (pending.service_class.name, pending.charge > 1.0)
+                if kind in blocked or not self.send_attempt(now, pending):
+                    blocked.update([kind] * first)
                     continue
                 if first:
-                    clear = self.balancer.mean_server_load() < SPARE_CAPACITY_SHARE * MAX_ATTEMPTS_PER_SERVER
-                    share = RETRY_SPARE if clear else RETRY_SHARE
+                    unloaded = (
+                        self.balancer.mean_server_load() < SPARE_CAPACITY_SHARE * MAX_ATTEMPTS_PER_SERVER
+                    )
+                    earned = RETRIES_PER_REQUEST_UNLOADED if unloaded else RETRIES_PER_REQUEST
                     self.retry_budget = min(
-                        max(2.0, RETRY_MOST / self.set.gateways), self.retry_budget + share
+                        max(2.0, MAX_SAVED_RETRIES / self.settings.gateways), self.retry_budget + earned
                     )
             self.queue.remove(pending)
-        if self.queue and self.trial_at <= now:  # no other event may come when a host's rest is over
-            trials = [at for s in self.balancer.up_servers for _, at in s.cooldowns.values() if at > now]
+        if self.queue and self.next_trial_at <= now:  # no event may come when a server's cool-down ends
+            trials = [
+                at for server in self.balancer.up_servers for _, at in server.cooldowns.values() if at > now
+            ]
             trials += [self.balancer.local_backoff_until] * (self.balancer.local_backoff_until > now)
-            self.trial_at = min(trials, default=0.0)
+            self.next_trial_at = min(trials, default=0.0)
 
     def on_outcome(self, now: float, event: api.Outcome) -> None:
+        """Handles the end of an attempt: the request is finished, retried, queued again or given up."""
         pending = self.requests.get(event.id)
-        cls, keys = (pending.cls, pending.keys) if pending else (None, ("server",))
-        self.balancer.record_outcome(now, event, cls, keys)
+        service_class, keys = (
+            (pending.service_class, pending.failure_keys) if pending else (None, ("server",))
+        )
+        self.balancer.record_outcome(now, event, service_class, keys)
         if pending is None:
             return
-        sent = pending.live.pop(event.attempt, None)
-        if event.actual_units and self.set.settles_actual_units and pending.plan.rate and not pending.beyond:
-            pending.acct.uncharged += event.actual_units - pending.req.units
+        attempt = pending.live_attempts.pop(event.attempt, None)
+        if (
+            event.actual_units
+            and self.settings.settles_actual_units
+            and pending.plan.rate
+            and not pending.over_quota
+        ):
+            pending.tenant.uncharged += event.actual_units - pending.req.units
         if event.final:
             self.finish(now, pending)
             return
-        if event.result in ("error", "timeout", "reset", "cancelled") and sent is not None:
-            pending.ran.append(sent)
+        if event.result in ("error", "timeout", "reset", "cancelled") and attempt is not None:
+            pending.may_have_run.append(attempt)
         if event.result in api.NOT_STARTED_RESULTS:
-            pending.unsent += 1
-            pending.avoid.discard(event.server)
+            pending.attempts_not_begun += 1
+            pending.excluded_servers.discard(event.server)
         if event.result == "unsent":
             self.balancer.record_local_error(now)
-        if pending.live:
+        if pending.live_attempts:
             return
         free = event.result == "connect_failed" or event.result in api.NOT_STARTED_RESULTS
-        cost = 0.0 if free else RETRY_FULL if event.result == "full" else 1.0
-        late = (
-            now + max(TICK, self.balancer.mean_latency[pending.cls.name]) > pending.deadline
+        cost = 0.0 if free else FULL_RETRY_COST if event.result == "full" else 1.0
+        too_late = (
+            now + max(TICK, self.balancer.mean_latency[pending.service_class.name]) > pending.deadline
             or event.result == "moot"
         )
-        if late:
+        if too_late:
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
         elif self.retry_budget < cost:
             self.refuse(now, pending, RefusalReason.RETRY_BUDGET_SPENT)
         elif self.send_attempt(now, pending):
             self.retry_budget -= cost
-        elif (free or event.result in ("full", "reset")) and self.may_wait(now, pending):
-            # All that it may go to are busy, which is no reason to give up what was turned away or lost. What
-            # was silent or erred has had its time at a host, and in overload would take that of others.
+        elif (free or event.result in ("full", "reset")) and self.may_wait_for_server(now, pending):
+            # All eligible servers are busy. A request that was rejected or lost waits for one of them. One
+            # that timed out or failed has used its time at a server; in overload it would delay the others.
             self.retry_budget -= cost
-            self.line_up(pending)
-            self.check_at(pending.arrived + self.hold(pending), pending)
+            self.insert_into_queue(pending)
+            self.schedule_check(pending.arrived_at + self.max_queue_time(pending), pending)
         else:
             self.refuse(now, pending, RefusalReason.NO_SERVER)
 
-    def may_wait(self, now: float, pending: PendingRequest) -> bool:
-        more = not pending.streaming and pending.begun < self.set.limits.max_attempts
-        more = more and now < pending.arrived + self.hold(pending)
-        mates = self.cell_mates(pending) if more else None
-        servers = self.balancer.up_servers if mates is None else mates
-        return more and any(self.is_eligible(pending, s, now) for s in servers)
+    def may_wait_for_server(self, now: float, pending: PendingRequest) -> bool:
+        """Returns whether a request may be queued for a retry: it has attempts, time and a server left."""
+        allowed = not pending.streaming and pending.attempts_begun < self.settings.limits.max_attempts
+        allowed = allowed and now < pending.arrived_at + self.max_queue_time(pending)
+        peers = self.cell_peers(pending) if allowed else None
+        servers = self.balancer.up_servers if peers is None else peers
+        return allowed and any(self.is_eligible(pending, server, now) for server in servers)
 
-    def check_at(self, at: float, pending: PendingRequest) -> None:
-        heapq.heappush(self.checks, (min(at, pending.deadline - 2 * TICK), pending.req.id))
+    def schedule_check(self, at: float, pending: PendingRequest) -> None:
+        """Schedules a check of a request, at the latest two ticks before its deadline."""
+        heapq.heappush(self.scheduled_checks, (min(at, pending.deadline - 2 * TICK), pending.req.id))
 
-    def tick(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
+        """Handles the timer: starts the watch on discovery again and runs the checks that are due."""
         if now >= self.timer_at - 1e-6:
             self.timer_at = math.inf
         if now >= self.watch_at:
             self.watch_at = math.inf
-            self.out.append(api.WatchServerList(True))
-        while self.checks and self.checks[0][0] <= now + 1e-6:
-            name = heapq.heappop(self.checks)[1]
-            if name in self.requests:
-                self.check_request(now, self.requests[name])
+            self.actions.append(api.WatchServerList(True))
+        while self.scheduled_checks and self.scheduled_checks[0][0] <= now + 1e-6:
+            request_id = heapq.heappop(self.scheduled_checks)[1]
+            if request_id in self.requests:
+                self.check_request(now, self.requests[request_id])
 
     def check_request(self, now: float, pending: PendingRequest) -> None:
-        ending = now >= pending.deadline - 2 * TICK - 1e-6
-        most = {"units": 2 * self.counter.timeout, "queue": self.hold(pending)}.get(pending.stage, math.inf)
-        if pending.stage != "sent" and (ending or now - pending.arrived >= most - 1e-6):
+        """Refuses a request that has waited too long, or looks for late attempts of one that was sent."""
+        near_deadline = now >= pending.deadline - 2 * TICK - 1e-6
+        max_wait = {"units": 2 * self.counter.timeout, "queue": self.max_queue_time(pending)}.get(
+            pending.stage, math.inf
+        )
+        if pending.stage != "sent" and (near_deadline or now - pending.arrived_at >= max_wait - 1e-6):
             self.refuse(now, pending, RefusalReason.QUEUE_TIMEOUT)
-        elif pending.stage == "sent" and not ending and not pending.streaming:
+        elif pending.stage == "sent" and not near_deadline and not pending.streaming:
             self.handle_late_attempts(now, pending)
 
     def handle_late_attempts(self, now: float, pending: PendingRequest) -> None:
-        """An attempt long without answer: evidence against its host, and reason for another one, whatever the
-        cause. Harm: work done twice where an answer was only slow, so it draws on the budget for retries."""
-        patience = self.balancer.hedge_delay(pending.cls.name) - TICK
-        late = [n for n, (_, sent) in pending.live.items() if now - sent >= patience]
-        for number in set(late) - pending.late:
-            # A silent one holds no other's place.
-            out = self.balancer.servers[pending.live[number][0]].in_flight
-            self.balancer.attempts_in_flight -= out.pop((pending.req.id, number), None) is not None
-            self.balancer.detector.record(pending.live[number][0], pending.keys, True, now)
-        pending.late.update(late)
-        self.check_at(now + max(2 * TICK, self.balancer.latency_deviation[pending.cls.name]), pending)
-        if not late or len(pending.live) > 1 or pending.cls.effect == "unsafe" or self.retry_budget < 1.0:
+        """Reports late attempts to the failure detector, and starts a hedged attempt whatever the cause.
+
+        Trade-off: where an answer was only slow, work is done twice, so a hedged attempt costs a retry.
+        """
+        timeout = self.balancer.hedge_delay(pending.service_class.name) - TICK
+        late = [number for number, (_, sent_at) in pending.live_attempts.items() if now - sent_at >= timeout]
+        for number in set(late) - pending.late_attempts:
+            # A late attempt does not occupy a place at its server or among this gateway's attempts.
+            live_at_server = self.balancer.servers[pending.live_attempts[number][0]].in_flight
+            self.balancer.attempts_in_flight -= live_at_server.pop((pending.req.id, number), None) is not None
+            self.balancer.detector.record(pending.live_attempts[number][0], pending.failure_keys, True, now)
+        pending.late_attempts.update(late)
+        self.schedule_check(
+            now + max(2 * TICK, self.balancer.latency_deviation[pending.service_class.name]), pending
+        )
+        if (
+            not late
+            or len(pending.live_attempts) > 1
+            or pending.service_class.effect == "unsafe"
+            or self.retry_budget < 1.0
+        ):
             return
-        if self.set.limits.hedging:
+        if self.settings.limits.hedging:
             self.retry_budget -= self.send_attempt(now, pending)
         elif (
-            self.set.limits.cancel
-            and pending.begun < self.set.limits.max_attempts
-            and self.choose(now, pending)
+            self.settings.limits.cancel
+            and pending.attempts_begun < self.settings.limits.max_attempts
+            and self.choose_server(now, pending)
         ):
-            self.out.append(api.Cancel(pending.req.id, late[0]))  # its outcome starts the next attempt
+            # The outcome of the cancelled attempt starts the next one.
+            self.actions.append(api.Cancel(pending.req.id, late[0]))
