--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -25,9 +25,7 @@
 )
 from calicomast.net.__main__ import SighupCounter
 
-SEND_DELAY = (
-    0.4  # seconds by which an attempt is sent late, so that its client may have left or been answered
-)
+SEND_DELAY = 0.4  # seconds by which attempts are sent late; their clients have left or been answered by then
 RESEND_DELAY_PAST_WINDOW = 2.3  # seconds after a response; longer than the deduplication window
 DUPLICATE_DELAY = 0.02  # seconds after a response
 ACTION_DELAY = 2.0  # seconds after the start of the gateway
@@ -54,15 +52,15 @@
 
 def one_answer() -> None:
     """Leaves some requests without a response."""
-    finish_request, counter = gateway.GatewayService.finish_request, [0]
+    finish_request, request_count = gateway.GatewayService.finish_request, [0]
 
-    def finish_with_gaps(
+    def finish_or_drop_response(
         service: gateway.GatewayService, request: requests.ActiveRequest, answer: bytes
     ) -> None:
-        counter[0] += 1
-        finish_request(service, request, b"" if counter[0] % UNANSWERED_INTERVAL == 0 else answer)
+        request_count[0] += 1
+        finish_request(service, request, b"" if request_count[0] % UNANSWERED_INTERVAL == 0 else answer)
 
-    gateway.GatewayService.finish_request = finish_with_gaps  # type: ignore[method-assign]
+    gateway.GatewayService.finish_request = finish_or_drop_response  # type: ignore[method-assign]
 
 
 def right_answer() -> None:
@@ -128,8 +126,8 @@
 
 def deadline_told() -> None:
     """Propagates a deadline that is a second too long."""
-    payload = requests.ActiveRequest.encode_command
-    requests.ActiveRequest.encode_command = lambda self, remaining: payload(self, remaining + 1.0)  # type: ignore[method-assign]
+    encode_command = requests.ActiveRequest.encode_command
+    requests.ActiveRequest.encode_command = lambda self, remaining: encode_command(self, remaining + 1.0)  # type: ignore[method-assign]
 
 
 def drained_servers_rest() -> None:
@@ -146,21 +144,23 @@
 
 def changes_are_heard() -> None:
     """Never calls discovery."""
-    discovery.DiscoveryClient.watch = lambda self, on: None  # type: ignore[method-assign]
+    discovery.DiscoveryClient.watch = lambda self, enabled: None  # type: ignore[method-assign]
 
 
 def cold_servers_stand() -> None:
     """Sends all requests to the server that started last, without slow start."""
     slow_start.SlowStartAdmission.remaining = lambda *arguments: 1e9  # type: ignore[method-assign]
     servers.LoadBalancer.best_server = (  # type: ignore[method-assign]
-        lambda self, now, keys, pool, charge: max(pool, key=lambda s: s.info.started_at, default=None)
+        lambda self, now, keys, pool, charge: max(
+            pool, key=lambda server: server.info.started_at, default=None
+        )
     )
 
 
 def quotas_hold() -> None:
     """Never exhausts a quota."""
     quota.TenantQuota.available_units = lambda self, now: 1e9  # type: ignore[method-assign]
-    quota.TenantQuota.local_allowance = lambda self, now, counter_unavailable: 1e9  # type: ignore[method-assign]
+    quota.TenantQuota.local_allowance = lambda self, now, counter_down: 1e9  # type: ignore[method-assign]
 
 
 def bad_clients_are_answered() -> None:
--- a/emulator/soak/standins.py
+++ b/emulator/soak/standins.py
@@ -22,7 +22,7 @@
 MALFORMED_RESPONSES = (b"*3\r\n$3\r\nvalue\r\n", b"\x88\xa8\r\n", b"*3\r\n$3000000000\r\n", b"$-1\r\n")
 LONG_VALUE_BYTES = 40_000
 LONG_VALUE_ID_SUFFIX = "77"  # requests whose id ends with it get a long value
-MALFORMATION_PROBABILITY = 0.3  # of a duplicated response, and otherwise of a malformed one
+MALFORMATION_PROBABILITY = 0.3  # of a duplicated response, and of a malformed one otherwise
 
 
 class ServerBehavior(Enum):
