--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -71,6 +71,7 @@
         self.retry_budget = INITIAL_RETRIES / settings.gateways
         self.max_class_value = max(c.value for c in settings.classes.values())
         self.scheduled_checks: list[tuple[float, str]] = []  # heap of times and request ids
+        # When the timer expires, and when the watch on discovery is started again.
         self.timer_at = self.watch_at = math.inf
         self.next_trial_at = 0.0  # when the queue is tried again because a server's cool-down ends
         self.admission_ratio = 1.0  # part of the requests that load shedding admits
