--- a/calicomast/servers.py
+++ b/calicomast/servers.py
@@ -280,7 +280,7 @@
         return [self.servers[server_id] for server_id in server_ids]
 
     def drop_removed_servers(self, now: float) -> None:
-        """Drops servers without attempts in flight that were removed REMOVED_SERVER_RETENTION seconds ago.
+        """Drops servers without attempts in flight removed over REMOVED_SERVER_RETENTION seconds ago.
 
         Without this the state would grow without bound, because new servers come with new ids.
         """
