--- a/calicomast/adapter.py
+++ b/calicomast/adapter.py
@@ -47,7 +47,7 @@
         for parent in parents:
             node = node.setdefault(parent, {})
             if not isinstance(node, dict):
-                raise WireError(f"setting {path} is below a setting that has a plain value")
+                raise WireError(f"setting {path} stands below a plain value")
         node[leaf] = value
     return root
 
@@ -98,7 +98,7 @@
         result=RESULTS[fields["reason"]],
         elapsed=to_seconds(fields.get("time_taken", "0")),
         final=read_boolean(fields, "terminal"),
-        quota_use=int(float(fields.get("fleet_use", 0))),
+        quota_usage=int(float(fields.get("fleet_use", 0))),
         actual_units=float(fields.get("actual", 0)),
         report=_load_report(fields),
     )
@@ -114,7 +114,7 @@
     "WORK_ITEM": _request,
     "REPORT_BACK": _outcome,
     "ADDED": lambda fields: api.CounterResult(
-        name=int(fields["entry_name"]),
+        counter_key=int(fields["entry_name"]),
         result=RESULTS[fields["reason"]],
         total=float(fields.get("now_at", 0)),
         elapsed=to_seconds(fields.get("time_taken", "0")),
@@ -153,7 +153,7 @@
     api.Fail: lambda gateway, action: f"DROP_REQUEST i={gateway} txn={action.id}",
     api.Cancel: lambda gateway, action: f"REVOKE i={gateway} txn={action.id} attempt={action.attempt}",
     api.AddToCounter: lambda gateway, action: (
-        f"CHARGE_COUNTER i={gateway} entry_name={action.name} by={action.amount:.7g} "
+        f"CHARGE_COUNTER i={gateway} entry_name={action.counter_key} by={action.amount:.7g} "
         f"forget_after={_nanoseconds(action.lifetime)}"
     ),
     api.SetTimer: lambda gateway, action: (
@@ -231,7 +231,7 @@
             else:
                 raise WireError(f"unknown event {word!r}")
             if word != "PROVISION" and gateway not in self.gateways:
-                raise WireError(f"gateway {gateway} has not been set up")
+                raise WireError(f"instance {gateway} has not been set up")
         except WireError as err:
             raise WireError(str(err), gateway) from err
         except KeyError as err:
@@ -264,7 +264,7 @@
             try:
                 now = to_seconds(_read_fields(parts)["at_time"])
             except (KeyError, ValueError) as err:
-                raise WireError(f"invalid clock time: {err}") from err
+                raise WireError(f"bad clock: {err}") from err
             while (line := self._next_line()) != "GO":
                 if line is None:
                     raise WireError("input ended inside a batch")
--- a/calicomast/interface.py
+++ b/calicomast/interface.py
@@ -157,7 +157,7 @@
     limits: Limits
     rules: Rules
     prices: dict[str, float]  # costs by name, such as "cross_zone" for an attempt in another zone
-    counter: bool  # whether there is a shared counter
+    counter_enabled: bool  # whether there is a shared counter
     counter_price: float  # cost of one call to the counter, in value
     counter_timeout: float  # seconds
     meter_period: float  # seconds; not used by the policy
@@ -170,7 +170,10 @@
     def __post_init__(self) -> None:
         _require(0 <= self.index < self.gateways, "index must be between 0 and gateways - 1")
         _require(self.discovery in ("push", "ask"), f"unknown discovery mode {self.discovery!r}")
-        _require(not self.counter or self.counter_timeout > 0, "a counter requires a counter_timeout above 0")
+        _require(
+            not self.counter_enabled or self.counter_timeout > 0,
+            "a counter requires a counter_timeout above 0",
+        )
         _require(bool(self.classes), "there must be at least one request class")
 
 
@@ -234,7 +237,7 @@
     result: str  # one of ATTEMPT_RESULTS
     elapsed: float  # seconds since the attempt began
     final: bool  # whether the request has ended
-    quota_use: int = 0  # 1 + percent of the tenant's rate used in the last metering period; 0: not reported
+    quota_usage: int = 0  # 1 + percent of the tenant's rate used in the last metering period; 0: not reported
     actual_units: float = 0  # units that the server charged for the request; 0: not reported
     report: dict[str, float] = field(default_factory=dict)
 
@@ -246,7 +249,7 @@
 class CounterResult:
     """Event: a call to the shared counter ended; raises ValueError."""
 
-    name: int  # of the count, as in AddToCounter
+    counter_key: int  # as in AddToCounter
     result: str  # one of COUNTER_RESULTS
     total: float  # of the count after the addition, if the result is "ok"
     elapsed: float  # seconds since the call
@@ -350,7 +353,7 @@
 class AddToCounter:
     """Action: add an amount to a count of the shared counter and report its new total."""
 
-    name: int  # of the count, a hash
+    counter_key: int  # a hash that identifies the count
     amount: float
     lifetime: float  # seconds after which the counter may drop the count
 
--- a/calicomast/leases.py
+++ b/calicomast/leases.py
@@ -45,7 +45,7 @@
 
     Attributes:
         grant_statistics: what the counter granted, by plan and demand level.
-        outstanding_calls: counter calls without a result, by count name, oldest first.
+        outstanding_calls: counter calls without a result, by counter key, oldest first.
         mean_value: moving average of a request's value.
         max_class_value: value of the most valuable class.
         value_within_quota: decaying sum of the value admitted within quotas.
@@ -210,17 +210,17 @@
             stable_hash(tenant.name, tenant.window), call.amount, 3 * tenant.window_length, call
         )
 
-    def call_counter(self, name: int, amount: float, lifetime: float, call: CounterCall) -> None:
+    def call_counter(self, counter_key: int, amount: float, lifetime: float, call: CounterCall) -> None:
         """Adds an amount to a count; the counter keeps the count for the lifetime, 1 to 60 seconds."""
-        self.outstanding_calls.setdefault(name, []).append(call)
-        self.actions.append(api.AddToCounter(name, amount, min(60.0, max(lifetime, 1.0))))
+        self.outstanding_calls.setdefault(counter_key, []).append(call)
+        self.actions.append(api.AddToCounter(counter_key, amount, min(60.0, max(lifetime, 1.0))))
 
     def on_counted(self, now: float, event: api.CounterResult) -> None:
         """Handles the result of the oldest outstanding call for a count."""
-        if event.name not in self.outstanding_calls:
+        if event.counter_key not in self.outstanding_calls:
             return
-        call, *rest = self.outstanding_calls.pop(event.name)
-        self.outstanding_calls.update({event.name: rest} if rest else {})
+        call, *rest = self.outstanding_calls.pop(event.counter_key)
+        self.outstanding_calls.update({event.counter_key: rest} if rest else {})
         ok, tenant = event.result == "ok", call.tenant
         # A malformed response, or a connection that broke before the timeout, says nothing of the next call.
         early = event.result == "timeout" and event.elapsed < EARLY_TIMEOUT * self.counter.timeout
@@ -340,7 +340,7 @@
         elif plan.concurrency_limit and (
             plan.concurrency_limit >= tenant.spread or over_probability * cost >= 1 - over_probability
         ):
-            self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT_REACHED)
+            self.handle_over_quota(now, pending, RefusalReason.CONCURRENCY_LIMIT_REACHED)
             return
         self.enqueue(now, pending)
 
@@ -357,7 +357,7 @@
         if ok and (pending.finished or event.total > tenant.plan.concurrency_limit % tenant.spread):
             self.count_concurrent_request(tenant, call.window, -1)
         if ok and not pending.finished and event.total > tenant.plan.concurrency_limit % tenant.spread:
-            self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT_REACHED)
+            self.handle_over_quota(now, pending, RefusalReason.CONCURRENCY_LIMIT_REACHED)
         elif not pending.finished:
             pending.held_slot = call.window if ok else 0
             self.enqueue(now, pending) if ok else self.take_slot(now, pending, False)
--- a/calicomast/net/attempts.py
+++ b/calicomast/net/attempts.py
@@ -28,8 +28,8 @@
 
     Args:
         listed: returns whether requests may be sent to a server now.
-        admits_late: returns whether an attempt (clock time, request id, attempt number, server) may still be
-            written to a server in slow start whose connection came up late.
+        admits_delayed_attempt: returns whether an attempt (clock time, request id, attempt number, server)
+            may still be written to a server in slow start whose connection was established late.
     """
 
     def __init__(
@@ -37,31 +37,31 @@
         settings: api.Settings,
         clock: Clock,
         listed: Callable[[str], bool],
-        admits_late: Callable[[float, str, int, str], bool],
+        admits_delayed_attempt: Callable[[float, str, int, str], bool],
         events: EventLog,
     ) -> None:
         self._limits, self._clock, self._listed = settings.limits, clock, listed
-        self._admits_late, self._events = admits_late, events
+        self._admits_delayed_attempt, self._events = admits_delayed_attempt, events
 
     def may_write(self, attempt: Attempt, connected_late: bool) -> Verdict:
         """Returns whether an attempt may be written now, and logs a refusal.
 
         `connected_late` means that the attempt had to wait for its connection.
         """
-        request, number = attempt.tag
+        request, number = attempt.request_and_number
         verdict = may_write_attempt(
             AttemptFacts(
                 finished=request.finished,
                 client_gone=not request.finished and request.slot.connection.peer_has_closed(),
                 remaining_time=request.deadline - monotonic(),
-                retry_window_left=attempt.retry_until - self._clock(),
+                retry_window_left=attempt.retry_deadline - self._clock(),
                 attempts_written=request.attempts_written,
                 max_attempts=self._limits.max_attempts,
                 other_attempts=len(request.active_attempts) - (number in request.active_attempts),
                 hedging_allowed=self._limits.hedging,
                 server_listed=self._listed(attempt.server),
                 within_slow_start_budget=not (connected_late and attempt.slow_start)
-                or self._admits_late(self._clock(), request.id, number, attempt.server),
+                or self._admits_delayed_attempt(self._clock(), request.id, number, attempt.server),
             )
         )
         if verdict is not Verdict.ALLOWED:
@@ -71,7 +71,7 @@
 
     def prepare_write(self, attempt: Attempt) -> bytes:
         """Encodes the command for an attempt, counts it as written and checks it against the invariants."""
-        request, _ = attempt.tag
+        request, _ = attempt.request_and_number
         request.attempts_written += 1
         remaining = request.deadline - monotonic()
         payload = request.encode_command(remaining)
@@ -89,7 +89,7 @@
         if violated is not None:
             excerpt = payload[:MAX_LOGGED_BYTES]
             detail = (
-                f"request {request.id} attempt {attempt.tag[1]} server {attempt.server} "
+                f"request {request.id} attempt {attempt.request_and_number[1]} server {attempt.server} "
                 f"remaining {remaining:.3f} {excerpt!r}"
             )
             MONITOR.record_violation(violated, detail)
@@ -110,7 +110,7 @@
             return Invariant.ATTEMPT_LIMIT
         if len(request.active_attempts) > 1 and not limits.hedging:
             return Invariant.SECOND_ATTEMPT
-        if attempt.retry_until < math.inf and self._clock() > attempt.retry_until + MAX_PROCESS_PAUSE:
+        if attempt.retry_deadline < math.inf and self._clock() > attempt.retry_deadline + MAX_PROCESS_PAUSE:
             return Invariant.REPEAT_WINDOW
         if not self._listed(attempt.server):
             return Invariant.SERVER_GONE
--- a/calicomast/net/config.py
+++ b/calicomast/net/config.py
@@ -83,7 +83,7 @@
         limits = settings_tree["limits"]
         settings = read_settings(settings_tree)
         counter = content.get("counter")
-        if settings.counter and not counter:
+        if settings.counter_enabled and not counter:
             raise ValueError("the settings have a shared counter, but the file has no counter address")
         return Config(
             name=env.get("RELAY_NAME") or content["name"],
--- a/calicomast/net/counter.py
+++ b/calicomast/net/counter.py
@@ -1,6 +1,6 @@
 """Client of the counter service: pipelined calls over a few persistent connections.
 
-Each counter name is assigned to one of the connections, so that responses for a name arrive in order.
+Each counter key is assigned to one of the connections, so that responses for a key arrive in order.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from calicomast.net.server_list import Address
 
-CONNECTION_COUNT = 4  # several, so that a slow partition of the counter does not delay the other names
+CONNECTION_COUNT = 4  # several, so that a slow partition of the counter does not delay the other keys
 KEEP_ALIVE_INTERVAL = 2.0  # seconds without a call after which a `ping`, which is free, is sent as keep-alive
 CHECK_INTERVAL = 0.25  # seconds between checks for silent and idle connections
 # A connection is dead after this time without a response: the larger of the two.
@@ -23,30 +23,30 @@
 SILENCE_TIMEOUT_FACTOR = 2.0  # multiple of a call's timeout
 MIN_BACKOFF = 0.05  # seconds before reconnecting; doubled after each failure
 MAX_BACKOFF = 1.0  # seconds
-PING_NAME = -1  # the name of a `ping` call, which concerns no counter
+PING_KEY = -1  # the key of a `ping` call, which concerns no count
 MAX_RESPONSE_LINE = 4096  # bytes
 # Stricter than float(), which accepts nan and 1_0 as well.
 TOTAL_PATTERN = re.compile(rb"-?[0-9]{1,20}(\.[0-9]{1,20})?(e[+-]?[0-9]{1,2})?")
 
 log = logging.getLogger(__name__)
 
-CallDone = Callable[[int, str, float, float], None]  # name, result, total, elapsed seconds
+CallDone = Callable[[int, str, float, float], None]  # counter key, result, total, elapsed seconds
 
 
 class Call:
     """One call to the counter. `on_done` receives its result once.
 
     Attributes:
-        name: the number of the counter, or PING_NAME.
+        counter_key: identifies the count that the call adds to, or PING_KEY.
         on_done: None once the result was reported, and for a ping.
         started_at: monotonic time.
         timer: ends the call with "timeout".
     """
 
-    __slots__ = ("name", "on_done", "started_at", "timer")
+    __slots__ = ("counter_key", "on_done", "started_at", "timer")
 
-    def __init__(self, name: int, on_done: CallDone | None) -> None:
-        self.name, self.on_done, self.started_at = name, on_done, monotonic()
+    def __init__(self, counter_key: int, on_done: CallDone | None) -> None:
+        self.counter_key, self.on_done, self.started_at = counter_key, on_done, monotonic()
         self.timer: asyncio.TimerHandle | None = None
 
     def end(self, result: str, total: float = 0.0) -> None:
@@ -59,7 +59,7 @@
             self.timer.cancel()
         on_done, self.on_done = self.on_done, None
         if on_done is not None:
-            on_done(self.name, result, total, monotonic() - self.started_at)
+            on_done(self.counter_key, result, total, monotonic() - self.started_at)
 
 
 class CounterConnection(asyncio.Protocol):
@@ -149,7 +149,7 @@
         if (
             not self.pending_calls
             or not words
-            or (words[0] == b"pong") != (self.pending_calls[0].name == PING_NAME)
+            or (words[0] == b"pong") != (self.pending_calls[0].counter_key == PING_KEY)
         ):
             return False
         if words[0] == b"ok" and len(words) == 2:
@@ -170,7 +170,7 @@
         The counter has added the call that was answered, but its total is unknown.
         """
         log.warning("malformed response from the counter: %r", text[:80])
-        if self.pending_calls and self.pending_calls[0].name != PING_NAME:
+        if self.pending_calls and self.pending_calls[0].counter_key != PING_KEY:
             self.pending_calls.popleft().end("spoilt")
         self.abort()
 
@@ -187,7 +187,7 @@
             log.warning("no response from the counter for %.1f s, reconnecting", self.silence_timeout)
             self.abort()
         elif not self.pending_calls and not self.retired and now - self.last_used > KEEP_ALIVE_INTERVAL:
-            self.write(Call(PING_NAME, None), b"ping\r\n")
+            self.write(Call(PING_KEY, None), b"ping\r\n")
 
     async def keep_connected(self) -> None:
         """Connects, and reconnects with backoff whenever the connection is lost, until it is retired."""
@@ -271,23 +271,27 @@
                 connection for connection in self.retired_connections if connection.pending_calls
             }
 
-    def add(self, name: int, amount: float, lifetime: float, on_done: CallDone) -> None:
-        """Adds an amount to a counter; `on_done` gets the result and the new total.
+    def add(self, counter_key: int, amount: float, lifetime: float, on_done: CallDone) -> None:
+        """Adds an amount to a count; `on_done` gets the result and the new total.
 
         Args:
-            name: the number of the counter.
+            counter_key: identifies the count.
             amount: in units.
-            lifetime: seconds for which the counter keeps this name.
+            lifetime: seconds for which the counter keeps the count.
             on_done: called once with one of these results: "ok", "full" (the counter responded busy or
                 error), "timeout" (may have been added), "spoilt" (malformed response: added, total unknown),
                 "connect_failed" (not sent).
         """
-        call = Call(name, on_done)
-        command = b"incr %d %s %d\r\n" % (name, f"{amount:.7g}".encode(), max(1, math.ceil(lifetime * 1000)))
+        call = Call(counter_key, on_done)
+        command = b"incr %d %s %d\r\n" % (
+            counter_key,
+            f"{amount:.7g}".encode(),
+            max(1, math.ceil(lifetime * 1000)),
+        )
         loop = asyncio.get_running_loop()
-        # One connection per name keeps the responses in order. Another one is used while that one reconnects,
+        # One connection per key keeps the responses in order. Another one is used while that one reconnects,
         # as it does after each malformed response.
-        index = name % CONNECTION_COUNT
+        index = counter_key % CONNECTION_COUNT
         if any(
             connection.write(call, command)
             for connection in self.connections[index:] + self.connections[:index]
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -393,7 +393,7 @@
         number = request.attempts_created
         request.attempts_created += 1
         attempt = Attempt(action.server, self.prepare_payload, self.attempt_done, (request, number))
-        attempt.retry_until, attempt.slow_start = action.retry_deadline, action.slow_start
+        attempt.retry_deadline, attempt.slow_start = action.retry_deadline, action.slow_start
         verdict = self.attempt_control.may_write(attempt, connected_late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
@@ -417,7 +417,7 @@
 
         Called when its connection is ready to be written to.
         """
-        request, _ = attempt.tag
+        request, _ = attempt.request_and_number
         if not attempt.permitted:
             verdict = self.attempt_control.may_write(attempt, connected_late=True)
             if verdict is not Verdict.ALLOWED:
@@ -428,7 +428,7 @@
 
     def attempt_done(self, attempt: Attempt) -> None:
         """Answers the request of an attempt that has ended, if it succeeded, and reports it to the policy."""
-        request, number = attempt.tag
+        request, number = attempt.request_and_number
         result, was_finished = attempt.result, request.finished
         del request.active_attempts[number]
         if result != "ok":
@@ -452,7 +452,7 @@
                 result,
                 attempt.elapsed(),
                 request.finished,
-                quota_use=attempt.quota_usage,
+                quota_usage=attempt.quota_usage,
                 report=attempt.report,
             )
         )
@@ -474,13 +474,13 @@
     def count(self, action: api.AddToCounter) -> None:
         """Calls the counter service; without one the call fails in the next turn of the event loop."""
         if self.counter is None:
-            self.loop.call_soon(self.handle_counter_result, action.name, "connect_failed", 0.0, 0.0)
+            self.loop.call_soon(self.handle_counter_result, action.counter_key, "connect_failed", 0.0, 0.0)
         else:
-            self.counter.add(action.name, action.amount, action.lifetime, self.handle_counter_result)
+            self.counter.add(action.counter_key, action.amount, action.lifetime, self.handle_counter_result)
 
-    def handle_counter_result(self, name: int, result: str, total: float, elapsed: float) -> None:
+    def handle_counter_result(self, counter_key: int, result: str, total: float, elapsed: float) -> None:
         """Reports a call of the counter service that has ended to the policy."""
-        self.submit_event(api.CounterResult(name, result, total, elapsed))
+        self.submit_event(api.CounterResult(counter_key, result, total, elapsed))
 
     def set_timer(self, action: api.SetTimer) -> None:
         """Sets a timer of the policy."""
--- a/calicomast/net/json_stream.py
+++ b/calicomast/net/json_stream.py
@@ -13,9 +13,8 @@
 from typing import Any
 
 MAX_VALUE_CHARACTERS = 1024 * 1024  # longest item or member; a longer one is taken to be endless
-BATCH_END_CANDIDATES = (
-    3  # closing braces tried as end of a batch: the list's, the enclosing object's, a nested one
-)
+# Closing braces tried as the end of a batch: the list's, the enclosing object's, a nested one.
+BATCH_END_CANDIDATES = 3
 WHITESPACE = re.compile(r"[ \t\n\r]*")
 VALUE_KINDS = {"[": "a list", "{": "an object", '"': "a string"}
 
--- a/calicomast/net/server_connections.py
+++ b/calicomast/net/server_connections.py
@@ -34,7 +34,7 @@
 IDLE_LOSS_HALF_LIFE = 30.0  # seconds after which the counts of idle connections have decayed by half
 MAX_LOAD = 10_000.0  # of any figure in a load report; a larger one would distort the averages for long
 MAX_QUOTA_USAGE = 1_000_000  # percent of a tenant's rate; a larger number is not a usage figure
-PROBE_TAG = object()  # the tag of an attempt that is a probe
+PROBE_MARKER = object()  # in place of request and number: the attempt is a probe
 PROBE_COMMAND = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
 
 Report = dict[str, float]
@@ -52,7 +52,8 @@
         build_command: called in the same step as the write; returns the bytes to write, or None if the
             attempt may no longer begin.
         on_done: called once with the attempt, when `result` is set.
-        tag: a value of the caller, or PROBE_TAG.
+        request_and_number: the request that the attempt belongs to and the number of the attempt; for a
+            probe, PROBE_MARKER.
         started_at: monotonic time at which the attempt was created.
         result: one of interface.ATTEMPT_RESULTS; empty until the attempt has ended.
         value: the value that the server returned.
@@ -62,7 +63,7 @@
         connection: the connection that it was handed to.
         timer: cancels the attempt at its timeout.
         state: AttemptState.
-        retry_until: clock time by which it has to be written, if it is a retry.
+        retry_deadline: clock time by which it has to be written, if it is a retry.
         slow_start: whether the server has just started, so that a write needs the policy's permission if the
             connection was established late.
         permitted: whether the caller has checked in this same step that the attempt may begin.
@@ -72,7 +73,7 @@
         "server",
         "build_command",
         "on_done",
-        "tag",
+        "request_and_number",
         "started_at",
         "result",
         "value",
@@ -81,7 +82,7 @@
         "connection",
         "timer",
         "state",
-        "retry_until",
+        "retry_deadline",
         "slow_start",
         "permitted",
     )
@@ -91,15 +92,15 @@
         server: str,
         build_command: Callable[[Attempt], bytes | None],
         on_done: Callable[[Attempt], None],
-        tag: Any = None,
+        request_and_number: Any = None,
     ) -> None:
         self.server = server
         self.build_command = build_command
         self.on_done = on_done
-        self.tag = tag
+        self.request_and_number = request_and_number
         self.started_at = monotonic()
         self.state = AttemptState.WAITING
-        self.retry_until = math.inf
+        self.retry_deadline = math.inf
         self.slow_start = False
         self.permitted = False
         self.result = ""
@@ -336,7 +337,7 @@
     Raises FramingError for a malformed response. The request may have been executed, and no value can be
     returned for it.
     """
-    if isinstance(response, list) and attempt.tag is not PROBE_TAG:
+    if isinstance(response, list) and attempt.request_and_number is not PROBE_MARKER:
         if len(response) != 3 or not isinstance(response[0], bytes) or len(response[0]) > MAX_BODY_BYTES:
             raise FramingError("malformed value in a server's response")
         attempt.value = response[0]
@@ -348,7 +349,7 @@
         words = str(response).split(" ")
         attempt.report = parse_report(words[-1])
         return "full" if words[0] == "BUSY" else "error"
-    if isinstance(response, bytes) and attempt.tag is PROBE_TAG:
+    if isinstance(response, bytes) and attempt.request_and_number is PROBE_MARKER:
         attempt.report = parse_report(response)
         return "ok"
     raise FramingError("unexpected type of a server's response")
@@ -507,7 +508,7 @@
 
     def probe(self, server: str, on_done: Callable[[Attempt], None]) -> None:
         """Asks a server for its load report; `on_done` gets the attempt that did it."""
-        self.send(Attempt(server, lambda attempt: PROBE_COMMAND, on_done, PROBE_TAG), self.connect_timeout)
+        self.send(Attempt(server, lambda attempt: PROBE_COMMAND, on_done, PROBE_MARKER), self.connect_timeout)
 
     def cancel_attempt(self, attempt: Attempt, result: str) -> None:
         """Ends an attempt with a result; "connect_failed" if it was not written completely.
--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -66,7 +66,7 @@
         self.tenant_quotas: dict[str, TenantQuota] = {}  # in order of their last request
         self.requests = dict[str, PendingRequest]()
         self.queue = list[PendingRequest]()  # requests that wait for a server, the most valuable one last
-        self.outstanding_calls: dict[int, list[CounterCall]] = {}  # by count name, oldest first
+        self.outstanding_calls: dict[int, list[CounterCall]] = {}  # by counter key, oldest first
         self.mean_units = 0.0  # moving average of a request's units
         self.retry_budget = INITIAL_RETRIES / settings.gateways
         self.max_class_value = max(c.value for c in settings.classes.values())
--- a/calicomast/quota.py
+++ b/calicomast/quota.py
@@ -95,9 +95,8 @@
         self.name = req.tenant
         self.plan = plan
         self.spread = req.spread
-        self.own_slots_in_use = (
-            0  # concurrent requests within this gateway's even share of the concurrency limit
-        )
+        # Concurrent requests within this gateway's even share of the concurrency limit.
+        self.own_slots_in_use = 0
         self.low_rate = 0 < plan.burst < self.spread  # the even share of the burst is less than a unit
         self.refill_time = plan.burst / plan.rate if plan.rate else 1.0  # seconds to refill an empty burst
         self.window_length = self.refill_time * (LOW_RATE_WINDOW if self.low_rate else 1.0)  # seconds
@@ -223,7 +222,7 @@
 
     def __init__(self, settings: api.Settings) -> None:
         """Starts with a latency that grows with the number of gateways: many start as under contention."""
-        self.enabled = settings.counter
+        self.enabled = settings.counter_enabled
         self.timeout = settings.counter_timeout  # seconds
         self.price = settings.counter_price
         self.failures = int(not self.enabled)  # consecutive calls without an answer
--- a/calicomast/rules.py
+++ b/calicomast/rules.py
@@ -44,7 +44,7 @@
     CEILING_REACHED = "ceiling reached"
     OVER_QUOTA = "beyond quota"
     COUNTER_UNAVAILABLE = "counter not heard"
-    OPEN_LIMIT_REACHED = "too many open"
+    CONCURRENCY_LIMIT_REACHED = "too many open"
     QUEUE_FULL = "queue full"
     QUEUE_TIMEOUT = "waited too long"
     RETRY_BUDGET_SPENT = "retries spent"
--- a/calicomast/settings.py
+++ b/calicomast/settings.py
@@ -113,7 +113,7 @@
             max_fetch_interval=to_seconds(rules.get("must_ask_in", "0")),
         ),
         prices={price_name: float(price) for price_name, price in tree.get("prices", {}).items()},
-        counter=read_boolean(specifics, "shared_counter"),
+        counter_enabled=read_boolean(specifics, "shared_counter"),
         counter_price=_number(specifics, "counter_price"),
         counter_timeout=to_seconds(specifics.get("counter_timeout", "0")),
         meter_period=to_seconds(specifics.get("meter_period", "0")),
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -182,9 +182,9 @@
         life = self._lives[index]
 
         def answered(result: str, total: float, elapsed: float) -> None:
-            self._deliver_in_life(index, life, api.CounterResult(action.name, result, total, elapsed))
+            self._deliver_in_life(index, life, api.CounterResult(action.counter_key, result, total, elapsed))
 
-        self.counter.add(action.name, action.amount, answered)
+        self.counter.add(action.counter_key, action.amount, answered)
 
     def _end(self, request: str, how: str) -> None:
         if self._requests.pop(request, None) is None:
--- a/emulator/scenarios/accounts.py
+++ b/emulator/scenarios/accounts.py
@@ -26,7 +26,7 @@
                 if isinstance(action, api.Send):
                     gateway.handle(now, api.Outcome(action.id, 0, action.server, "ok", 0.05, True))
                 elif isinstance(action, api.AddToCounter):
-                    gateway.handle(now, api.CounterResult(action.name, "ok", action.amount, 0.002))
+                    gateway.handle(now, api.CounterResult(action.counter_key, "ok", action.amount, 0.002))
         gateway.handle(1010.0, api.TimerExpired(0))
         return gateway
 
--- a/emulator/scenarios/cold_start.py
+++ b/emulator/scenarios/cold_start.py
@@ -70,7 +70,7 @@
             limits=LIMITS,
             rules=RULES,
             prices={},
-            counter=False,
+            counter_enabled=False,
             counter_price=0.01,
             counter_timeout=0.05,
             meter_period=0.0,
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -88,12 +88,12 @@
     done = gateway.GatewayService.attempt_done
 
     def again(node: gateway.GatewayService, attempt: server_connections.Attempt) -> None:
-        work, _ = attempt.tag
+        work, _ = attempt.request_and_number
         done(node, attempt)
         if attempt.result == "ok":
             payload = work.encode_command(1.0)
             second = server_connections.Attempt(
-                attempt.server, lambda _: payload, lambda _: None, server_connections.PROBE_TAG
+                attempt.server, lambda _: payload, lambda _: None, server_connections.PROBE_MARKER
             )
             later(seconds, node.server_connections.send, second, 1.0)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -56,7 +56,7 @@
         limits=api.Limits(**{**default_limits, **(limits or {})}),
         rules=api.Rules(**{**default_rules, **(rules or {})}),
         prices={"cross_zone": 0.02},
-        counter=True,
+        counter_enabled=True,
         counter_price=0.01,
         counter_timeout=0.05,
         meter_period=0.0,
@@ -80,7 +80,7 @@
     Attributes:
         now: the clock, in seconds.
         action_log: time and action, for all actions so far.
-        counter_totals: totals of the counter, by count name.
+        counter_totals: totals of the counter, by counter key.
         counter_mode: "answer", "silent" (each call times out), "refuse" (each is turned away) or "hold" (the
             test answers).
     """
@@ -100,13 +100,15 @@
         self.action_log += [(self.now, action) for action in actions]
         for call in [action for action in actions if isinstance(action, api.AddToCounter)]:
             if self.counter_mode == "answer":
-                total = self.counter_totals[call.name] = self.counter_totals.get(call.name, 0) + call.amount
-                actions = actions + self.handle(api.CounterResult(call.name, "ok", total, 0.002))
+                total = self.counter_totals[call.counter_key] = (
+                    self.counter_totals.get(call.counter_key, 0) + call.amount
+                )
+                actions = actions + self.handle(api.CounterResult(call.counter_key, "ok", total, 0.002))
             elif self.counter_mode == "silent":
                 self.now += 0.05
-                actions = actions + self.handle(api.CounterResult(call.name, "timeout", 0, 0.05))
+                actions = actions + self.handle(api.CounterResult(call.counter_key, "timeout", 0, 0.05))
             elif self.counter_mode == "refuse":
-                actions = actions + self.handle(api.CounterResult(call.name, "full", 0, 0.001))
+                actions = actions + self.handle(api.CounterResult(call.counter_key, "full", 0, 0.001))
         return actions
 
     def send_request(self, tenant="c", plan="p", service_class="read", units=1, spread=2, remaining_time=3.0):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -59,7 +59,9 @@
             for call in actions_of(harness.send_request(tenant=f"c{number}", spread=60)[1], api.AddToCounter):
                 calls[latency] += call.amount > 0
                 most[latency] = max(most[latency], call.amount)
-                harness.handle(api.CounterResult(call.name, "ok", 20.0 * (number % 2) + call.amount, latency))
+                harness.handle(
+                    api.CounterResult(call.counter_key, "ok", 20.0 * (number % 2) + call.amount, latency)
+                )
             harness.now += 0.1
     assert calls[0.045] < 0.7 * calls[0.001]
     assert most[0.001] <= 1.1 and 1.1 < most[0.045] <= 4.0
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -24,7 +24,7 @@
         counter, results = harness.service.counter, asyncio.Queue()
 
         def add(amount):
-            counter.add(8, amount, 4, lambda name, *outcome: results.put_nowait(outcome[:2]))
+            counter.add(8, amount, 4, lambda counter_key, *outcome: results.put_nowait(outcome[:2]))
 
         while counter.connections[0].transport is None:
             await asyncio.sleep(0)
@@ -47,7 +47,7 @@
         counter, results = harness.service.counter, asyncio.Queue()
 
         def add():
-            counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
+            counter.add(8, 1, 4, lambda counter_key, result, total, elapsed: results.put_nowait(result))
 
         while len(harness.counter.writers) < CONNECTION_COUNT or any(
             connection.transport is None for connection in counter.connections
@@ -85,7 +85,7 @@
         while counter.connections[0].transport is None:
             await asyncio.sleep(0)
         old_transport, harness.counter.silent = counter.connections[0].transport, True
-        counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
+        counter.add(8, 1, 4, lambda counter_key, result, total, elapsed: results.put_nowait(result))
         await harness.counter.arrived.get()
         for writer in harness.counter.writers:
             writer.write(malformed)
@@ -101,7 +101,7 @@
         counter, results = harness.service.counter, asyncio.Queue()
 
         def add(amount):
-            counter.add(8, amount, 4, lambda name, *outcome: results.put_nowait(outcome[:2]))
+            counter.add(8, amount, 4, lambda counter_key, *outcome: results.put_nowait(outcome[:2]))
 
         counter.timeout = 10.0
         while any(connection.transport is None for connection in counter.connections):
@@ -131,7 +131,9 @@
         counter, results = harness.service.counter, asyncio.Queue()
 
         def add():
-            counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait((result, total)))
+            counter.add(
+                8, 1, 4, lambda counter_key, result, total, elapsed: results.put_nowait((result, total))
+            )
 
         while any(connection.transport is None for connection in counter.connections):
             await asyncio.sleep(0)
@@ -208,15 +210,17 @@
         while counter.connections[0].transport is None:
             await asyncio.sleep(0)
         harness.counter.silent = True
-        counter.add(8, 1, 4, lambda name, *outcome: results.put_nowait(outcome[:2]))
+        counter.add(8, 1, 4, lambda counter_key, *outcome: results.put_nowait(outcome[:2]))
         await harness.counter.arrived.get()
-        (connection,) = [c for c in counter.connections if c.pending_calls and c.pending_calls[0].name == 8]
+        (connection,) = [
+            c for c in counter.connections if c.pending_calls and c.pending_calls[0].counter_key == 8
+        ]
         connection.pending_calls[0].started_at -= 1.9
         connection.check()
         assert not connection.transport.is_closing()
         harness.counter.answer_all()
         assert await results.get() == ("ok", 1.0)
-        counter.add(8, 1, 4, lambda name, *outcome: results.put_nowait(outcome[:2]))
+        counter.add(8, 1, 4, lambda counter_key, *outcome: results.put_nowait(outcome[:2]))
         await harness.counter.arrived.get()
         connection.pending_calls[0].started_at -= 4.1
         connection.check()
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -60,9 +60,11 @@
         calls, sends = calls + actions_of(actions, api.AddToCounter), actions_of(actions, api.Send)
     call = calls[0]
     # Other gateways have used up the quota.
-    actions = harness.handle(api.CounterResult(call.name, "ok", 40, 0.002))
+    actions = harness.handle(api.CounterResult(call.counter_key, "ok", 40, 0.002))
     assert [
-        each for each in actions_of(actions, api.AddToCounter) if each.amount < 0 and each.name == call.name
+        each
+        for each in actions_of(actions, api.AddToCounter)
+        if each.amount < 0 and each.counter_key == call.counter_key
     ]
     assert not actions_of(actions, api.Send) and actions_of(actions, api.Refuse)
 
@@ -145,7 +147,7 @@
 
 
 def test_even_share_is_admitted_if_there_is_no_counter():
-    harness = GatewayHarness(make_settings(counter=False))
+    harness = GatewayHarness(make_settings(counter_enabled=False))
     served = count_served(harness, 40)
     assert 4 <= served <= 8 and not [
         action for _, action in harness.action_log if isinstance(action, api.AddToCounter)
@@ -257,7 +259,7 @@
     for _ in range(12):
         actions = harness.send_request()[1]
         calls, sent = calls + actions_of(actions, api.AddToCounter), sent + len(actions_of(actions, api.Send))
-    actions = harness.handle(api.CounterResult(calls[0].name, "timeout", 0, 0.05))
+    actions = harness.handle(api.CounterResult(calls[0].counter_key, "timeout", 0, 0.05))
     assert harness.gateway.tenant_quotas["c"].lease == 0 and sent + len(actions_of(actions, api.Send)) <= 5
     assert len(actions_of(actions, api.Refuse)) >= 3
 
@@ -320,7 +322,7 @@
         calls = []
         while not calls:
             calls = actions_of(harness.send_request()[1], api.AddToCounter)
-        harness.handle(api.CounterResult(calls[0].name, result, 0.0, elapsed))
+        harness.handle(api.CounterResult(calls[0].counter_key, result, 0.0, elapsed))
         assert (
             bool(
                 [
@@ -348,9 +350,9 @@
             ]
             for call in actions_of(actions, api.AddToCounter):
                 calls += 1
-                counts[call.name] = counts.get(call.name, 0) + call.amount
-                answer = ("spoilt", 0.0) if calls % 3 else ("ok", counts[call.name])
-                later += harness.handle(api.CounterResult(call.name, *answer, 0.002))
+                counts[call.counter_key] = counts.get(call.counter_key, 0) + call.amount
+                answer = ("spoilt", 0.0) if calls % 3 else ("ok", counts[call.counter_key])
+                later += harness.handle(api.CounterResult(call.counter_key, *answer, 0.002))
             actions = later
     assert calls > 6 and 36 <= sent <= 46 and sent + refused == 60
     assert max(counts.values()) <= 48
@@ -387,9 +389,9 @@
     call = next_units_call(harness)
     harness.gateway.tenant_quotas["c"].debt = 5.0
     # The connection broke: the amount may have been added.
-    harness.handle(api.CounterResult(call.name, "timeout", 0.0, 0.002))
+    harness.handle(api.CounterResult(call.counter_key, "timeout", 0.0, 0.002))
     second = next_units_call(harness)
-    actions = harness.handle(api.CounterResult(call.name, "ok", call.amount + second.amount, 0.002))
+    actions = harness.handle(api.CounterResult(call.counter_key, "ok", call.amount + second.amount, 0.002))
     assert [call.amount for call in actions_of(actions, api.AddToCounter) if call.amount >= 5]
 
 
@@ -399,11 +401,13 @@
     call = next_units_call(harness)
     harness.gateway.tenant_quotas["c"].debt = 5.0
     assert actions_of(
-        harness.handle(api.CounterResult(call.name, "ok", call.amount, 0.002)), api.AddToCounter
+        harness.handle(api.CounterResult(call.counter_key, "ok", call.amount, 0.002)), api.AddToCounter
     )
-    harness.handle(api.CounterResult(call.name, "full", 0.0, 0.002))  # the call that adds the overdraft
+    harness.handle(
+        api.CounterResult(call.counter_key, "full", 0.0, 0.002)
+    )  # the call that adds the overdraft
     second = next_units_call(harness)
-    actions = harness.handle(api.CounterResult(call.name, "ok", call.amount + second.amount, 0.002))
+    actions = harness.handle(api.CounterResult(call.counter_key, "ok", call.amount + second.amount, 0.002))
     assert sum(correction.amount for correction in actions_of(actions, api.AddToCounter)) < call.amount
 
 
@@ -445,7 +449,7 @@
     harness = harness_with_rejecting_counter("hold")
     for number in range(30):  # exhausted counts of tenants that have little demand at this gateway
         for call in actions_of(harness.send_request(tenant=f"c{number}", spread=30)[1], api.AddToCounter):
-            harness.handle(api.CounterResult(call.name, "ok", 50.0, 0.002))
+            harness.handle(api.CounterResult(call.counter_key, "ok", 50.0, 0.002))
     harness.counter_mode = "refuse"
     assert not any(count_admitted(harness, f"d{number}") for number in range(10))
 
