--- a/calicomast/failure_detector.py
+++ b/calicomast/failure_detector.py
@@ -1,6 +1,6 @@
 """Failure detector: estimates from the outcomes of attempts how likely each server fails.
 
-Part of the policy: policy.py.
+Part of the policy, see policy.py.
 """
 
 from __future__ import annotations
@@ -35,21 +35,21 @@
         self.estimates: dict[str, dict[str, tuple[float, float]]] = {}
         self.fleet_estimates: dict[str, float] = {}
 
-    def failure_probability(self, server: str, level: str, now: float) -> float:
+    def failure_probability(self, server_id: str, level: str, now: float) -> float:
         """Returns the estimate for one server and level, decayed towards that of the fleet."""
         fleet = self.fleet_estimates.get(level, MIN_FLEET_ESTIMATE)
-        known = self.estimates[server].get(level) if server in self.estimates else None
+        known = self.estimates[server_id].get(level) if server_id in self.estimates else None
         return (
             fleet
             if known is None
             else fleet + (known[0] - fleet) * 0.5 ** ((now - known[1]) / ESTIMATE_HALF_LIFE)
         )
 
-    def health_weight(self, server: str, levels: tuple[str, ...], now: float) -> float:
+    def health_weight(self, server_id: str, levels: tuple[str, ...], now: float) -> float:
         """Returns the squared probability that the server works at the worst of the levels, from 0 to 1."""
-        return (1 - max(self.failure_probability(server, level, now) for level in levels)) ** 2
+        return (1 - max(self.failure_probability(server_id, level, now) for level in levels)) ** 2
 
-    def record(self, server: str, levels: tuple[str, ...], failed: bool, now: float) -> None:
+    def record(self, server_id: str, levels: tuple[str, ...], failed: bool, now: float) -> None:
         """Updates the estimates with the outcome of one attempt.
 
         `levels` starts with the level of the whole server. The load balancer and the policy call this.
@@ -57,7 +57,7 @@
         max_fleet = max(self.fleet_estimates.get(level, MIN_FLEET_ESTIMATE) for level in levels)
         for level in levels:
             fleet = self.fleet_estimates.get(level, MIN_FLEET_ESTIMATE)
-            estimate = self.failure_probability(server, level, now)
+            estimate = self.failure_probability(server_id, level, now)
             if failed:  # Bayes' rule, weighted by how much of the fleet fails at this level
                 estimate += (
                     estimate
@@ -73,11 +73,11 @@
                     * (1 - FAILING_ERROR_RATE)
                     / (estimate * (1 - FAILING_ERROR_RATE) + (1 - estimate) * (1 - HEALTHY_ERROR_RATE))
                 )
-            self.estimates.setdefault(server, {})[level] = (estimate, now)
+            self.estimates.setdefault(server_id, {})[level] = (estimate, now)
             self.fleet_estimates[level] = min(
                 MAX_FLEET_ESTIMATE, max(MIN_FLEET_ESTIMATE, fleet + EWMA_WEIGHT * (estimate - fleet))
             )
 
-    def forget(self, server: str) -> None:
+    def forget(self, server_id: str) -> None:
         """Drops the estimates of a server. The load balancer calls this when it drops the server's state."""
-        self.estimates.pop(server, None)
+        self.estimates.pop(server_id, None)
--- a/calicomast/leases.py
+++ b/calicomast/leases.py
@@ -94,11 +94,11 @@
 
     def units_left(self, now: float, pending: PendingRequest) -> float:
         """Returns the available units less the reserve and those of this request; negative if too few."""
-        return pending.tenant.available_units(now) - self.reserved_units(pending) - pending.req.units
+        return pending.tenant.available_units(now) - self.reserved_units(pending) - pending.request.units
 
     def take_units(self, now: float, pending: PendingRequest) -> bool:
         """Admits a request by the lease or the local allowance; returns whether there were enough units."""
-        tenant, units = pending.tenant, pending.req.units
+        tenant, units = pending.tenant, pending.request.units
         if self.units_left(now, pending) + tenant.lease < 0:
             return False
         allowance = tenant.local_allowance(now, self.counter.failures > 0) - tenant.uncharged
@@ -135,10 +135,10 @@
         if self.take_units(now, pending):
             return
         if now < tenant.exhausted_until or self.units_left(now, pending) < 0:
-            wait = (pending.req.units - available) / tenant.plan.rate
+            wait = (pending.request.units - available) / tenant.plan.rate
             self.handle_over_quota(now, pending, RefusalReason.OVER_QUOTA, wait)
         elif may_call and self.counter.is_available(now):
-            tenant.waiting.append(pending.req.id)
+            tenant.waiting.append(pending.request.id)
             self.schedule_check(now + 2 * self.counter.timeout + TICK, pending)
         else:
             self.decide_without_lease(now, pending)
@@ -146,7 +146,7 @@
     def decide_without_lease(self, now: float, pending: PendingRequest) -> None:
         """Admits a request without a lease if the counter would probably have granted one."""
         statistics = self.grant_statistics[pending.plan.name, pending.demand_level]
-        units = pending.req.units
+        units = pending.request.units
         counter_down, loss = self.counter.failures > 0, statistics.expected_loss(pending.plan)
         statistics.refill_credit(now)
         likely = (
@@ -186,7 +186,7 @@
         """
         if tenant.outstanding_call is not None or not self.counter.is_available(now):
             return
-        needed = sum(self.requests[i].req.units for i in tenant.waiting if i in self.requests)
+        needed = sum(self.requests[i].request.units for i in tenant.waiting if i in self.requests)
         size = tenant.lease_size(self.counter.price + FULL_LATENCY_COST * self.counter.latency**2)
         available = tenant.available_units(now)
         renewal_due = (
@@ -215,7 +215,7 @@
         self.outstanding_calls.setdefault(counter_key, []).append(call)
         self.actions.append(api.AddToCounter(counter_key, amount, min(60.0, max(lifetime, 1.0))))
 
-    def on_counted(self, now: float, event: api.CounterResult) -> None:
+    def on_counter_result(self, now: float, event: api.CounterResult) -> None:
         """Handles the result of the oldest outstanding call for a count."""
         if event.counter_key not in self.outstanding_calls:
             return
@@ -230,7 +230,7 @@
             tenant.outstanding_call = None
             tenant.advance_window(now)
             if call.window == tenant.window and ok:
-                self.on_units_counted(now, tenant, event.total, call)
+                self.on_units_result(now, tenant, event.total, call)
             elif call.window == tenant.window and event.result == "spoilt":
                 tenant.added += call.amount  # certainly added; the next call uses the leased units
                 tenant.unclaimed += call.lease
@@ -242,13 +242,13 @@
                 tenant.unconfirmed += call.amount
             self.decide_waiting(now, tenant, event.result != "full")
         elif call.kind == "slot":
-            self.on_slot_counted(now, event, call)
+            self.on_slot_result(now, event, call)
         elif call.window == tenant.window and event.result not in ("ok", "spoilt"):
             # The amount may be missing from the count, so a total without it does not mean a lost count.
             tenant.added -= call.amount
             tenant.unconfirmed += call.amount * (event.result == "timeout")
 
-    def on_units_counted(self, now: float, tenant: TenantQuota, total: float, call: CounterCall) -> None:
+    def on_units_result(self, now: float, tenant: TenantQuota, total: float, call: CounterCall) -> None:
         """Takes over the counter's total and the leased units, and corrects the count where it is wrong."""
         own, correction, tolerance = call.amount, 0.0, TOTAL_TOLERANCE * max(1.0, total)
         if total < tenant.added + own - tolerance:
@@ -272,7 +272,7 @@
         tenant.total = total + correction - excess
         tenant.lease += call.lease - excess
         tenant.found_exhausted_at = now if excess > 0 else -math.inf
-        needed = sum(pending.req.units for pending in waiting)
+        needed = sum(pending.request.units for pending in waiting)
         if needed:
             weight = 1 + call.extra / needed
             statistics = self.grant_statistics[tenant.plan.name, waiting[0].demand_level]
@@ -290,8 +290,8 @@
         """Decides the requests that waited for a call, those with the most value per unit first."""
         ids, tenant.waiting = tenant.waiting, []
         waiting = [self.requests[i] for i in ids if i in self.requests]
-        for pending in sorted(waiting, key=lambda each: -each.value / max(each.req.units, 1e-9)):
-            if tenant.available_units(now) + tenant.lease < pending.req.units:
+        for pending in sorted(waiting, key=lambda each: -each.value / max(each.request.units, 1e-9)):
+            if tenant.available_units(now) + tenant.lease < pending.request.units:
                 wait = max(0.0, 1 - tenant.available_units(now)) / tenant.plan.rate
                 # Under contention the other gateways wait for the same unit, so pause for longer.
                 contention = self.counter.latency > CONTENTION_LATENCY
@@ -313,7 +313,7 @@
         rate = max(tenant.total, tenant.used) / max(now - tenant.window_start, tenant.window_length / 4)
         mean_concurrency = (
             min(rate, plan.rate or rate)
-            / max(pending.req.units, 1e-9)
+            / max(pending.request.units, 1e-9)
             * self.balancer.mean_latency[pending.service_class.name]
         )
         over_probability = 1 - sum(
@@ -351,7 +351,7 @@
         call = CounterCall(tenant, "slot" if pending else "correction", epoch, pending=pending)
         self.call_counter(stable_hash("open", tenant.name, epoch), amount, 2 * SLOT_EPOCH, call)
 
-    def on_slot_counted(self, now: float, event: api.CounterResult, call: CounterCall) -> None:
+    def on_slot_result(self, now: float, event: api.CounterResult, call: CounterCall) -> None:
         """Handles the result of the call that takes a shared slot for a request."""
         pending, tenant, ok = call.pending, call.tenant, event.result == "ok"
         if ok and (pending.finished or event.total > tenant.plan.concurrency_limit % tenant.spread):
--- a/calicomast/membership.py
+++ b/calicomast/membership.py
@@ -1,9 +1,9 @@
 """All servers that discovery has listed, and the subset of them that this gateway sends to.
 
-Part of the policy: policy.py. A gateway stores every listed server but keeps further state for few of them.
-Its *view* holds the up servers that rank first in its own order, and its *subset* the first ones of the view,
-to which it sends by default. A change of the server list touches only the servers that the change names, so
-its cost does not depend on the length of the list.
+Part of the policy, see policy.py. A gateway stores every listed server but keeps further state for few of
+them. Its *view* holds the up servers that rank first in its own order, and its *subset* the first ones of
+the view, to which it sends by default. A change of the server list touches only the servers that the change
+names, so its cost does not depend on the length of the list.
 """
 
 from __future__ import annotations
@@ -79,14 +79,16 @@
         """Number of servers in a rebuilt or trimmed view."""
         return max(MIN_VIEW_SIZE, VIEW_SIZE_FACTOR * self.subset_size)
 
-    def rank(self, server: str) -> float:
+    def rank(self, server_id: str) -> float:
         """Returns the rank of a server id in the order of this gateway; the lowest comes first."""
-        digest = xxhash.xxh3_64_intdigest(server.encode(), self.group)
+        digest = xxhash.xxh3_64_intdigest(server_id.encode(), self.group)
         return ((digest >> 32) - self.group_offset) % self.group_size + (digest & 0xFFFFFFFF) / 2**32
 
-    def __contains__(self, server: str) -> bool:
+    def __contains__(self, server_id: str) -> bool:
         """Returns whether a server id is up and in view."""
-        return self._is_up(server) and (not self.has_partial_view or self.rank(server) <= self.max_view_rank)
+        return self._is_up(server_id) and (
+            not self.has_partial_view or self.rank(server_id) <= self.max_view_rank
+        )
 
     def apply(self, info: api.Server) -> None:
         """Applies the listed state of one server."""
@@ -114,7 +116,7 @@
 
     def missing_from(self, listed_ids: set[str]) -> list[api.Server]:
         """Returns the stored servers that a complete list with these ids no longer names."""
-        return [info for server, info in self.servers.items() if server not in listed_ids]
+        return [info for server_id, info in self.servers.items() if server_id not in listed_ids]
 
     def continue_rebuild(self) -> bool:
         """Scans one batch of servers if a rebuild of the view is running; returns whether the view changed.
@@ -124,12 +126,12 @@
         if self._unscanned is None:
             return False
         for _ in range(REBUILD_BATCH_SIZE):
-            server = next(self._unscanned, None)
-            if server is None:
+            server_id = next(self._unscanned, None)
+            if server_id is None:
                 self._finish_rebuild()
                 return True
-            if self._is_up(server) and (rank := self.rank(server)) > self.max_view_rank:
-                self._add_candidate((rank, server))
+            if self._is_up(server_id) and (rank := self.rank(server_id)) > self.max_view_rank:
+                self._add_candidate((rank, server_id))
         return False
 
     @property
@@ -170,13 +172,15 @@
         self.max_view_rank = (
             -self._candidates[0][0] if self._candidates and self._candidates_dropped else math.inf
         )
-        self.view += sorted({(-rank, server) for rank, server in self._candidates if self._is_up(server)})
+        self.view += sorted(
+            {(-rank, server_id) for rank, server_id in self._candidates if self._is_up(server_id)}
+        )
         self._unscanned, self._candidates = None, []
         self._start_rebuild_if_needed()
 
-    def _is_up(self, server: str) -> bool:
+    def _is_up(self, server_id: str) -> bool:
         """Returns whether a server id is listed as up."""
-        info = self.servers.get(server)
+        info = self.servers.get(server_id)
         return info is not None and info.state == "up"
 
     def _update_cell(self, old: api.Server | None, info: api.Server) -> None:
--- a/calicomast/pending.py
+++ b/calicomast/pending.py
@@ -15,7 +15,7 @@
     Attributes:
         arrived_at, deadline: clock times in seconds.
         value_per_work: value for each unit of work, by which requests are ordered.
-        failure_keys: scopes in which a server may fail the request: wholly, for its class, for its plan.
+        failure_levels: levels at which a server may fail: as a whole, for the class, for the plan.
         stage: "units", "slot" or "queue" while the request waits for that, then "sent".
         charge: charge against the budget of a server in slow start, see slow_start.py.
         demand_level: the tenant's demand level at this gateway when the request arrived.
@@ -30,7 +30,7 @@
         excluded_servers: ids of the servers that get no further attempt.
     """
 
-    req: api.Request
+    request: api.Request
     service_class: api.ServiceClass
     plan: api.Plan
     tenant: TenantQuota
@@ -38,7 +38,7 @@
     deadline: float
     value: float
     value_per_work: float
-    failure_keys: tuple[str, ...]
+    failure_levels: tuple[str, ...]
     stage: str = "units"
     charge: float = 1.0
     demand_level: int = 0
--- a/calicomast/policy.py
+++ b/calicomast/policy.py
@@ -69,7 +69,7 @@
         self.outstanding_calls: dict[int, list[CounterCall]] = {}  # by counter key, oldest first
         self.mean_units = 0.0  # moving average of a request's units
         self.retry_budget = INITIAL_RETRIES / settings.gateways
-        self.max_class_value = max(c.value for c in settings.classes.values())
+        self.max_class_value = max(service_class.value for service_class in settings.classes.values())
         self.scheduled_checks: list[tuple[float, str]] = []  # heap of times and request ids
         # When the timer expires, and when the watch on discovery is started again.
         self.timer_at = self.watch_at = math.inf
@@ -94,7 +94,7 @@
             case api.Outcome():
                 self.on_outcome(now, event)
             case api.CounterResult():
-                self.on_counted(now, event)
+                self.on_counter_result(now, event)
             case api.TimerExpired():
                 self.on_timer(now)
             case api.ServerListUpdate():
@@ -120,37 +120,37 @@
             self.actions.append(api.SetTimer(max(0.0, next_at - now), 0))
         return self.actions
 
-    def on_request(self, now: float, req: api.Request) -> None:
+    def on_request(self, now: float, request: api.Request) -> None:
         """Handles a new request: refuses it at once, or starts with its quota or its concurrency slot."""
-        service_class, plan = self.settings.classes[req.service_class], self.settings.plans[req.plan]
-        tenant = self.tenant_quotas.pop(req.tenant, None)
+        service_class, plan = self.settings.classes[request.service_class], self.settings.plans[request.plan]
+        tenant = self.tenant_quotas.pop(request.tenant, None)
         if tenant is None:
-            tenant = TenantQuota(req, plan, self.started_at, now, self.rng)
-        self.tenant_quotas[req.tenant], tenant.last_request_at = tenant, now
+            tenant = TenantQuota(request, plan, self.started_at, now, self.rng)
+        self.tenant_quotas[request.tenant], tenant.last_request_at = tenant, now
         self.drop_idle_tenants(now)
-        value = service_class.value * plan.value_factor * req.units
+        value = service_class.value * plan.value_factor * request.units
         self.mean_value += (EWMA_WEIGHT if self.mean_value else 1.0) * (value - self.mean_value)
         value_per_work = value / max(self.balancer.mean_latency[service_class.name], 1e-6)
-        failure_keys = ("server", "class " + service_class.name, "plan " + plan.name)
+        failure_levels = ("server", "class " + service_class.name, "plan " + plan.name)
         pending = PendingRequest(
-            req,
+            request,
             service_class,
             plan,
             tenant,
             now,
-            now + req.remaining_time,
+            now + request.remaining_time,
             value,
             value_per_work,
-            failure_keys,
+            failure_levels,
         )
-        self.requests[req.id] = pending
+        self.requests[request.id] = pending
         pending.charge = slow_start_charge(self.relative_work(pending), self.rng.random())
-        if req.remaining_time < 2 * TICK:  # no scheduled check would run in time
+        if request.remaining_time < 2 * TICK:  # no scheduled check would run in time
             self.refuse(now, pending, RefusalReason.DEADLINE_NEAR)
         elif self.should_shed(now, pending):
             self.refuse(now, pending, RefusalReason.LOAD_SHED)
-        elif tenant.available_ceiling_units(now) < req.units:
-            wait = (req.units - tenant.ceiling_units) * tenant.spread / plan.ceiling_rate
+        elif tenant.available_ceiling_units(now) < request.units:
+            wait = (request.units - tenant.ceiling_units) * tenant.spread / plan.ceiling_rate
             self.refuse(now, pending, RefusalReason.CEILING_REACHED, wait)
         elif plan.rate:
             self.request_units(now, pending)
@@ -163,7 +163,7 @@
         It follows from the units where the settings allow requests to differ in them, otherwise from the mean
         response time of the class.
         """
-        units = pending.req.units
+        units = pending.request.units
         self.mean_units += (EWMA_WEIGHT if self.mean_units else 1.0) * (units - self.mean_units)
         if self.settings.max_request_units > 1:
             return units / max(self.mean_units, MIN_MEAN_UNITS)
@@ -231,7 +231,7 @@
 
     def enqueue(self, now: float, pending: PendingRequest) -> None:
         """Queues a request that has its units and its concurrency slot, and sends it if possible."""
-        tenant, units = pending.tenant, pending.req.units
+        tenant, units = pending.tenant, pending.request.units
         if tenant.available_ceiling_units(now) < units:
             self.refuse(now, pending, RefusalReason.CEILING_REACHED)
             return
@@ -279,17 +279,17 @@
         ) != ("keyed", "all")
         if not (unrepeatable and (pending.may_have_run or pending.live_attempts)):
             max_wait = self.settings.limits.max_retry_after if self.settings.limits.retry_after else 0.0
-            self.actions.append(api.Refuse(pending.req.id, min(max(wait, 0.0), max_wait), reason.value))
+            self.actions.append(api.Refuse(pending.request.id, min(max(wait, 0.0), max_wait), reason.value))
         else:
-            self.actions.append(api.Fail(pending.req.id, reason.value))
+            self.actions.append(api.Fail(pending.request.id, reason.value))
         self.finish(now, pending)
 
     def finish(self, now: float, pending: PendingRequest) -> None:
         """Removes a request that is answered or abandoned: cancels its attempts and releases its slot."""
         pending.finished = True
-        self.requests.pop(pending.req.id, None)
+        self.requests.pop(pending.request.id, None)
         self.actions += [
-            api.Cancel(pending.req.id, number)
+            api.Cancel(pending.request.id, number)
             for number in pending.live_attempts
             if self.settings.limits.cancel
         ]
@@ -303,16 +303,16 @@
         A keyed request may be retried only within the scope and the time in which servers discard duplicates,
         an unsafe one only if no attempt may have run.
         """
-        unproven = pending.may_have_run + list(pending.live_attempts.values())
+        possibly_executed = pending.may_have_run + list(pending.live_attempts.values())
         if (
             server.info.id in pending.excluded_servers
-            or not unproven
+            or not possibly_executed
             or pending.service_class.effect == "safe"
         ):
             return server.info.id not in pending.excluded_servers
         if pending.service_class.effect == "unsafe" or now >= self.retry_deadline(pending):
             return False
-        known = [self.balancer.server_info(name) for name, _ in unproven]
+        known = [self.balancer.server_info(server_id) for server_id, _ in possibly_executed]
         scope = pending.service_class.dedup_scope
         if None in known:
             return False
@@ -323,10 +323,12 @@
 
     def retry_deadline(self, pending: PendingRequest) -> float:
         """Returns until when a further attempt may be written; infinite if no attempt may have run."""
-        unproven = pending.may_have_run + list(pending.live_attempts.values())
-        if pending.service_class.effect == "safe" or not unproven:
+        possibly_executed = pending.may_have_run + list(pending.live_attempts.values())
+        if pending.service_class.effect == "safe" or not possibly_executed:
             return math.inf
-        return retry_deadline(min(sent_at for _, sent_at in unproven), pending.service_class.dedup_window)
+        return retry_deadline(
+            min(sent_at for _, sent_at in possibly_executed), pending.service_class.dedup_window
+        )
 
     def admits_delayed_attempt(self, now: float, request_id: str, number: int, server_id: str) -> bool:
         """Returns whether an attempt at a server in slow start may be written to a delayed connection."""
@@ -338,13 +340,13 @@
     def choose_server(self, now: float, pending: PendingRequest) -> ServerState | None:
         """Returns the best eligible server for the next attempt, or None if no server can take it now."""
         if not pending.excluded_servers:
-            return self.balancer.pick_server(now, pending.failure_keys, None, pending.charge)
+            return self.balancer.pick_server(now, pending.failure_levels, None, pending.charge)
         peers = self.cell_peers(pending)
         if peers is not None:
             eligible = [server for server in peers if self.is_eligible(pending, server, now)]
-            return self.balancer.best_server(now, pending.failure_keys, eligible, pending.charge)
+            return self.balancer.best_server(now, pending.failure_levels, eligible, pending.charge)
         return self.balancer.pick_server(
-            now, pending.failure_keys, lambda server: self.is_eligible(pending, server, now), pending.charge
+            now, pending.failure_levels, lambda server: self.is_eligible(pending, server, now), pending.charge
         )
 
     def cell_peers(self, pending: PendingRequest) -> list[ServerState] | None:
@@ -352,7 +354,7 @@
 
         None if the request is not bound to a cell, or if all servers are in view anyway.
         """
-        tried = [name for name, _ in [*pending.may_have_run, *pending.live_attempts.values()]]
+        tried = [server_id for server_id, _ in [*pending.may_have_run, *pending.live_attempts.values()]]
         bound = (pending.service_class.effect, pending.service_class.dedup_scope) == (
             "keyed",
             "cell",
@@ -375,10 +377,10 @@
             server.slow_start is not None and server.slow_start_weight(now, self.settings.rules) < 1.0
         )
         self.actions.append(
-            api.Send(pending.req.id, server.info.id, 0, self.retry_deadline(pending), in_slow_start)
+            api.Send(pending.request.id, server.info.id, 0, self.retry_deadline(pending), in_slow_start)
         )
         pending.live_attempts[pending.attempts_sent] = (server.info.id, now)
-        self.balancer.record_send(server, (pending.req.id, pending.attempts_sent), now, pending.charge)
+        self.balancer.record_send(server, (pending.request.id, pending.attempts_sent), now, pending.charge)
         pending.attempts_sent += 1
         pending.excluded_servers.add(server.info.id)
         pending.stage = "sent"
@@ -416,10 +418,10 @@
     def on_outcome(self, now: float, event: api.Outcome) -> None:
         """Handles the end of an attempt: the request is finished, retried, queued again or given up."""
         pending = self.requests.get(event.id)
-        service_class, keys = (
-            (pending.service_class, pending.failure_keys) if pending else (None, ("server",))
+        service_class, levels = (
+            (pending.service_class, pending.failure_levels) if pending else (None, ("server",))
         )
-        self.balancer.record_outcome(now, event, service_class, keys)
+        self.balancer.record_outcome(now, event, service_class, levels)
         if pending is None:
             return
         attempt = pending.live_attempts.pop(event.attempt, None)
@@ -429,7 +431,7 @@
             and pending.plan.rate
             and not pending.over_quota
         ):
-            pending.tenant.uncharged += event.actual_units - pending.req.units
+            pending.tenant.uncharged += event.actual_units - pending.request.units
         if event.final:
             self.finish(now, pending)
             return
@@ -473,7 +475,7 @@
 
     def schedule_check(self, at: float, pending: PendingRequest) -> None:
         """Schedules a check of a request, at the latest two ticks before its deadline."""
-        heapq.heappush(self.scheduled_checks, (min(at, pending.deadline - 2 * TICK), pending.req.id))
+        heapq.heappush(self.scheduled_checks, (min(at, pending.deadline - 2 * TICK), pending.request.id))
 
     def on_timer(self, now: float) -> None:
         """Handles the timer: starts the watch on discovery again and runs the checks that are due."""
@@ -508,8 +510,10 @@
         for number in set(late) - pending.late_attempts:
             # A late attempt does not occupy a place at its server or among this gateway's attempts.
             live_at_server = self.balancer.servers[pending.live_attempts[number][0]].in_flight
-            self.balancer.attempts_in_flight -= live_at_server.pop((pending.req.id, number), None) is not None
-            self.balancer.detector.record(pending.live_attempts[number][0], pending.failure_keys, True, now)
+            self.balancer.attempts_in_flight -= (
+                live_at_server.pop((pending.request.id, number), None) is not None
+            )
+            self.balancer.detector.record(pending.live_attempts[number][0], pending.failure_levels, True, now)
         pending.late_attempts.update(late)
         self.schedule_check(
             now + max(2 * TICK, self.balancer.latency_deviation[pending.service_class.name]), pending
@@ -529,4 +533,4 @@
             and self.choose_server(now, pending)
         ):
             # The outcome of the cancelled attempt starts the next one.
-            self.actions.append(api.Cancel(pending.req.id, late[0]))
+            self.actions.append(api.Cancel(pending.request.id, late[0]))
--- a/calicomast/quota.py
+++ b/calicomast/quota.py
@@ -53,13 +53,13 @@
     """A call to the counter whose result has not arrived yet.
 
     Attributes:
-        kind: "units" leases units, "slot" takes an concurrency slot, "correction" adjusts a count.
+        kind: "units" leases units, "slot" takes a concurrency slot, "correction" adjusts a count.
         window: index of the tenant's quota window; for the count of concurrent requests, its epoch.
         charge: units that were admitted before without a charge.
-        lease: units that are asked for.
+        lease: units that are requested.
         extra: units for requests that were admitted without a call, or the amount of a correction.
         unclaimed: units that earlier calls added and that this call uses.
-        pending: the request that waits for an concurrency slot, if there is one.
+        pending: the request that waits for a concurrency slot, if there is one.
     """
 
     tenant: TenantQuota
@@ -81,20 +81,20 @@
     """The quota of one tenant as this gateway sees it, in the current window."""
 
     def __init__(
-        self, req: api.Request, plan: api.Plan, started_at: float, now: float, rng: random.Random
+        self, request: api.Request, plan: api.Plan, started_at: float, now: float, rng: random.Random
     ) -> None:
         """Starts without a lease.
 
         Args:
-            req: the tenant's first request at this gateway.
+            request: the tenant's first request at this gateway.
             plan: the tenant's plan.
             started_at: when this gateway started.
             now: the current time.
             rng: the random generator of the policy.
         """
-        self.name = req.tenant
+        self.name = request.tenant
         self.plan = plan
-        self.spread = req.spread
+        self.spread = request.spread
         # Concurrent requests within this gateway's even share of the concurrency limit.
         self.own_slots_in_use = 0
         self.low_rate = 0 < plan.burst < self.spread  # the even share of the burst is less than a unit
@@ -281,12 +281,12 @@
         self.recorded_at = now
         self.refilled_at = now
 
-    def record(self, now: float, asked: float, granted: float) -> None:
-        """Records that the counter granted so many of the units that were asked for."""
+    def record(self, now: float, requested: float, granted: float) -> None:
+        """Records how many of the requested units the counter granted."""
         self.refill_credit(now)
         self.observations += 1
         self.granted_share += max(EWMA_WEIGHT, 1 / self.observations) * (
-            min(1.0, granted / asked) - self.granted_share
+            min(1.0, granted / requested) - self.granted_share
         )
         decayed = self.granted_rate * math.exp((self.recorded_at - now) / GRANT_AVERAGING_TIME)
         self.granted_rate = decayed + granted / GRANT_AVERAGING_TIME
--- a/calicomast/rules.py
+++ b/calicomast/rules.py
@@ -1,9 +1,9 @@
 """Rules that decide whether an action may start: a write, an accept, a close or an update of the server list.
 
-Part of the policy: policy.py. The facts behind an earlier decision can change before the action runs, for
-example while a connection is established, while a request is queued or while the process is suspended. So
-the code that writes an attempt, closes a connection, accepts a request or applies a server list evaluates the
-rule in the same step as the action, with the facts of that moment, on every code path.
+Part of the policy, see policy.py. The facts behind an earlier decision can change before the action runs,
+for example while a connection is established, while a request is queued or while the process is suspended.
+So the code that writes an attempt, closes a connection, accepts a request or applies a server list evaluates
+the rule in the same step as the action, with the facts of that moment, on every code path.
 """
 
 from __future__ import annotations
--- a/calicomast/servers.py
+++ b/calicomast/servers.py
@@ -1,7 +1,7 @@
 """Load balancing: the state of the servers that this gateway uses, and the choice among them.
 
-Part of the policy: policy.py. Limits that hold over all gateways are divided equally among them. Where the
-share of a gateway is fractional, it is rounded at random.
+Part of the policy, see policy.py. Limits that hold over all gateways are divided equally among them. Where
+the share of a gateway is fractional, it is rounded at random.
 """
 
 from __future__ import annotations
@@ -134,7 +134,10 @@
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self.settings, self.rng, self.detector = settings, rng, FailureDetector()
         self.servers: dict[str, ServerState] = {}
-        track_cells = any(c.effect == "keyed" and c.dedup_scope == "cell" for c in settings.classes.values())
+        track_cells = any(
+            service_class.effect == "keyed" and service_class.dedup_scope == "cell"
+            for service_class in settings.classes.values()
+        )
         self.membership = Membership(settings.index, settings.gateways, track_cells)
         self.removed_at: dict[str, float] = {}
         self._up_servers: list[ServerState] = []
@@ -143,7 +146,10 @@
         self.is_stale = False
         self.now = 0.0
         self.server_attempt_limit = max(1.0, MAX_ATTEMPTS_PER_SERVER / settings.gateways)
-        self.mean_latency = {c.name: min(c.latency_target / 5, c.deadline) for c in settings.classes.values()}
+        self.mean_latency = {
+            service_class.name: min(service_class.latency_target / 5, service_class.deadline)
+            for service_class in settings.classes.values()
+        }
         self.latency_deviation = dict(self.mean_latency)
         self.answer_counts = dict.fromkeys(self.mean_latency, 0)
         self.last_send_rate = 0.0
@@ -173,7 +179,7 @@
     def apply_server_list(self, now: float, event: api.ServerListUpdate) -> None:
         """Applies a server list from discovery, complete or with changes only."""
         if event.mode not in ("delta", "failed"):
-            for info in self.membership.missing_from({h.id for h in event.servers}):
+            for info in self.membership.missing_from({info.id for info in event.servers}):
                 self.apply_server(now, dataclasses.replace(info, state="down"))
         for info in event.servers:
             self.apply_server(now, info)
@@ -488,11 +494,11 @@
             )
 
     def record_outcome(
-        self, now: float, event: api.Outcome, cls: api.ServiceClass | None, levels: tuple[str, ...]
+        self, now: float, event: api.Outcome, service_class: api.ServiceClass | None, levels: tuple[str, ...]
     ) -> None:
         """Learns from the outcome of an attempt: load, failures, congestion and latency.
 
-        `cls` is the class of the request, None if the request has already ended.
+        `service_class` is the class of the request, None if the request has already ended.
         """
         server = self.servers.get(event.server)
         if server is None:  # removed so long ago that its outcomes no longer matter
@@ -522,16 +528,16 @@
                 self.congested_share + min(gain, 0.5) * (is_congested - self.congested_share),
                 now,
             )
-        if event.result != "ok" or cls is None:
+        if event.result != "ok" or service_class is None:
             return
         server.latency_ratio += FAST_EWMA_WEIGHT * (
-            min(event.elapsed / max(self.mean_latency[cls.name], 1e-6), 10.0) - server.latency_ratio
+            min(event.elapsed / max(self.mean_latency[service_class.name], 1e-6), 10.0) - server.latency_ratio
         )
-        self.answer_counts[cls.name] += 1
-        gain = max(1 / self.answer_counts[cls.name], EWMA_WEIGHT)
-        deviation = event.elapsed - self.mean_latency[cls.name]
-        self.mean_latency[cls.name] += gain * deviation
+        self.answer_counts[service_class.name] += 1
+        gain = max(1 / self.answer_counts[service_class.name], EWMA_WEIGHT)
+        deviation = event.elapsed - self.mean_latency[service_class.name]
+        self.mean_latency[service_class.name] += gain * deviation
         self.mean_service_time += gain * (event.elapsed - self.mean_service_time)
-        self.latency_deviation[cls.name] += gain * (
-            abs(deviation) * (1 - gain) - self.latency_deviation[cls.name]
+        self.latency_deviation[service_class.name] += gain * (
+            abs(deviation) * (1 - gain) - self.latency_deviation[service_class.name]
         )
--- a/calicomast/slow_start.py
+++ b/calicomast/slow_start.py
@@ -1,10 +1,10 @@
 """Slow start: limits what each gateway sends to a server that has just started.
 
-Part of the policy: policy.py. A server in slow start is overloaded when all gateways together send more than
-it can serve, and gateways cannot communicate with each other. So the right to send is assigned rather than
-accumulated: for each start of a server, every gateway computes the same permutation of all gateways, and only
-the gateways in its first positions may send, each once per budget window. No state is kept that a restart
-of a gateway could lose or duplicate.
+Part of the policy, see policy.py. A server in slow start is overloaded when all gateways together send more
+than it can serve, and gateways cannot communicate with each other. So the right to send is assigned rather
+than accumulated: for each start of a server, every gateway computes the same permutation of all gateways,
+and only the gateways in its first positions may send, each once per budget window. No state is kept that a
+restart of a gateway could lose or duplicate.
 
 Trade-off: a server may stay idle although a gateway without a slot could use it. The effect decreases as the
 budget grows during slow start.
@@ -23,13 +23,13 @@
 MILLISECONDS = 1000.0  # per second; discovery reports start times in whole milliseconds
 
 
-def gateway_position(server: str, started_at: float, index: int, gateways: int) -> int:
+def gateway_position(server_id: str, started_at: float, index: int, gateways: int) -> int:
     """Returns the position, from 0, of gateway `index` among all gateways for one start of a server.
 
     The order is an affine permutation of the gateway indexes that differs for each start. `started_at` is the
     clock time of the start in seconds.
     """
-    seed = stable_hash("cold", server, round(started_at * MILLISECONDS))
+    seed = stable_hash("cold", server_id, round(started_at * MILLISECONDS))
     step, shift = seed % gateways, seed // gateways % gateways
     while math.gcd(step, gateways) != 1:
         step += 1
