--- a/calicomast/net/clients.py
+++ b/calicomast/net/clients.py
@@ -38,10 +38,10 @@
 # Seconds between checks of connections whose reading is paused, so that the request of a disconnected client
 # ends within 0.3 s.
 DISCONNECT_POLL_INTERVAL = 0.1
-# Read and discarded after lost framing, as closing with unread input would send a reset.
+# Input that is read and discarded after lost framing, as closing with unread input would send a reset.
 MAX_DISCARDED_BYTES = 256 * 1024
 MAX_EVICTION_CANDIDATES = 64  # idle connections checked for unread bytes when one has to be evicted
-# Of responses that the client has not read. A connection with more is dropped after CLOSE_TIMEOUT or
+# Responses that the client has not read. A connection with more is dropped after CLOSE_TIMEOUT or
 # WRITE_STALL_TIMEOUT, even if a response has not expired.
 MAX_UNSENT_BYTES = 1024 * 1024
 MAX_REJECTED_CONNECTIONS = 16  # rejected connections that wait for their client to close
--- a/calicomast/net/discovery.py
+++ b/calicomast/net/discovery.py
@@ -158,9 +158,8 @@
         self.last_call_succeeded, self.silent, self.large_response_rejected = True, False, False
         wait = params.get("wait", 0)
         if wait > 1 and not changes and loop.time() - call.started_at < wait / 2000:
-            await asyncio.sleep(
-                EARLY_WATCH_END_DELAY
-            )  # limits the calls to a discovery that holds no watch open
+            # This limits the calls to a discovery that holds no watch open.
+            await asyncio.sleep(EARLY_WATCH_END_DELAY)
         return True
 
     async def fetch_and_apply(self, call: Call, params: dict[str, int]) -> int:
--- a/calicomast/net/framing.py
+++ b/calicomast/net/framing.py
@@ -11,8 +11,8 @@
 
 import hiredis
 
-MAX_BODY_BYTES = 64 * 1024  # of a value or body; set by the protocol
-# Of a message, framing included. Bounds the memory that a message without an end can fill.
+MAX_BODY_BYTES = 64 * 1024  # length of a value or body; set by the protocol
+# Length of a message, framing included. It bounds the memory that a message without an end can fill.
 MAX_MESSAGE_BYTES = MAX_BODY_BYTES + 4096
 MAX_ARRAY_ITEMS = 64  # no message of the protocol has more than five
 MAX_LINE_BYTES = 1024  # the longest lines are error lines that carry a load report
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -94,7 +94,9 @@
         self.state = ProcessState.SERVING
         self.event_log = EventLog()
         # Both times are in seconds; the shutdown timeout counts from SIGTERM.
-        longest = self.longest_deadline = max(cls.deadline for cls in self.settings.classes.values())
+        longest = self.longest_deadline = max(
+            service_class.deadline for service_class in self.settings.classes.values()
+        )
         self.shutdown_timeout = (
             min(longest, MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE - min(KILL_MARGIN, longest / 2)
         )
@@ -132,7 +134,7 @@
             api.Refuse: self.refuse,
             api.Fail: self.fail,
             api.Cancel: self.cancel,
-            api.AddToCounter: self.count,
+            api.AddToCounter: self.add_to_counter,
             api.SetTimer: self.set_timer,
             api.Probe: self.probe,
             api.CloseConnections: lambda action: self.server_connections.close_idle(action.server),
@@ -408,9 +410,9 @@
         )
         attempt.permitted = False
 
-    def admits_delayed_attempt(self, now: float, id: str, number: int, server: str) -> bool:
+    def admits_delayed_attempt(self, now: float, request_id: str, number: int, server_id: str) -> bool:
         """Asks the policy whether slow start allows an attempt whose connection was established late."""
-        return self.policy.admits_delayed_attempt(now, id, number, server)
+        return self.policy.admits_delayed_attempt(now, request_id, number, server_id)
 
     def prepare_payload(self, attempt: Attempt) -> bytes | None:
         """Returns the bytes to send to the server, or None if the attempt may not be sent any more.
@@ -471,7 +473,7 @@
         """Reports a probe that has ended to the policy."""
         self.submit_event(api.ProbeResult(attempt.server, attempt.result, attempt.elapsed(), attempt.report))
 
-    def count(self, action: api.AddToCounter) -> None:
+    def add_to_counter(self, action: api.AddToCounter) -> None:
         """Calls the counter service; without one the call fails in the next turn of the event loop."""
         if self.counter is None:
             self.loop.call_soon(self.handle_counter_result, action.counter_key, "connect_failed", 0.0, 0.0)
--- a/calicomast/net/requests.py
+++ b/calicomast/net/requests.py
@@ -14,7 +14,7 @@
 
 MAX_REMAINING_TIME = 3600.0  # seconds; a client that claims to wait longer is in error
 READ, WRITE = b"API.READ", b"API.WRITE"
-DEADLINE_FIELD = b",d="  # in the request terms: the client's remaining time in milliseconds
+DEADLINE_FIELD = b",d="  # the field of a request with the client's remaining time in milliseconds
 
 # Stricter than int() and float(), which also accept whitespace, signs, `1_0`, `0x1` and other forms that the
 # protocol doesn't have.
@@ -74,18 +74,18 @@
 
         `remaining` is the time in seconds for which the gateway waits for this attempt.
         """
-        terms = self.command[3]
-        start, end = locate_deadline(terms)
-        rewritten = b"%s%d%s" % (terms[:start], remaining_time_ms(remaining), terms[end:])
+        encoded_fields = self.command[3]
+        start, end = locate_deadline(encoded_fields)
+        rewritten = b"%s%d%s" % (encoded_fields[:start], remaining_time_ms(remaining), encoded_fields[end:])
         parts = [*self.command[:3], rewritten, *self.command[4:]]
         return b"*%d\r\n%s" % (len(parts), b"".join([encode_bulk_string(part) for part in parts]))
 
 
-def locate_deadline(terms: bytes) -> tuple[int, int]:
-    """Returns the start and end of the value of `d` in a request's terms."""
-    start = (b"," + terms).index(DEADLINE_FIELD) + len(DEADLINE_FIELD) - 1
-    end = terms.find(b",", start)
-    return start, end if end >= 0 else len(terms)
+def locate_deadline(encoded_fields: bytes) -> tuple[int, int]:
+    """Returns the start and end of the value of `d` in a request's encoded fields."""
+    start = (b"," + encoded_fields).index(DEADLINE_FIELD) + len(DEADLINE_FIELD) - 1
+    end = encoded_fields.find(b",", start)
+    return start, end if end >= 0 else len(encoded_fields)
 
 
 def encode_bulk_string(data: bytes) -> bytes:
@@ -126,11 +126,11 @@
 
     `elapsed` is the time in seconds to subtract from the client's remaining time.
     """
-    verb, tenant, request_id, terms = command[:4]
-    pairs = [term.split(b"=", 1) for term in terms.split(b",")]
+    verb, tenant, request_id, encoded_fields = command[:4]
+    pairs = [field.split(b"=", 1) for field in encoded_fields.split(b",")]
     try:
         fields = dict(pairs)
-        cls = settings.classes.get(fields[b"c"].decode())
+        service_class = settings.classes.get(fields[b"c"].decode())
         plan = fields[b"t"].decode()
         remaining, units = parse_integer(fields[b"d"]) / 1000, parse_decimal(fields[b"units"])
         spread, first = parse_integer(fields[b"spread"]), parse_integer(fields[b"first"])
@@ -144,11 +144,11 @@
         and NAME_PATTERN.fullmatch(request_id)
     ):
         raise BadRequest("odd customer or id")
-    if cls is None or plan not in settings.plans:
+    if service_class is None or plan not in settings.plans:
         raise BadRequest("unknown class or plan")
     is_write = verb == WRITE
-    missing_key = cls.effect == "keyed" and not NAME_PATTERN.fullmatch(fields.get(b"k", b""))
-    if is_write == (cls.effect == "safe") or missing_key:
+    missing_key = service_class.effect == "keyed" and not NAME_PATTERN.fullmatch(fields.get(b"k", b""))
+    if is_write == (service_class.effect == "safe") or missing_key:
         raise BadRequest("class does not go with this command")
     gateways = settings.gateways
     if not (
@@ -163,7 +163,7 @@
         remaining - elapsed,
         tenant.decode().lower(),
         plan,
-        cls.name,
+        service_class.name,
         units,
         first,
         spread,
--- a/calicomast/net/server_connections.py
+++ b/calicomast/net/server_connections.py
@@ -32,8 +32,8 @@
 NEW_CONNECTION_COST = 0.1  # attempts; for the server's work on a new connection, and the time it takes
 MIN_SAVED_ATTEMPTS = 2.0  # a smaller saving by closing idle connections may be chance
 IDLE_LOSS_HALF_LIFE = 30.0  # seconds after which the counts of idle connections have decayed by half
-MAX_LOAD = 10_000.0  # of any figure in a load report; a larger one would distort the averages for long
-MAX_QUOTA_USAGE = 1_000_000  # percent of a tenant's rate; a larger number is not a usage figure
+MAX_LOAD = 10_000.0  # largest figure in a load report; a larger one would distort the averages for long
+MAX_QUOTA_USAGE = 1_000_000  # percent of a tenant's rate; a larger number is taken to be an error
 PROBE_MARKER = object()  # in place of request and number: the attempt is a probe
 PROBE_COMMAND = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
 
@@ -461,7 +461,7 @@
 
     Args:
         connect_timeout: seconds; also the timeout of a probe.
-        idle_close: seconds after which the servers close an idle connection.
+        server_idle_timeout: seconds after which the servers close an idle connection.
         max_connections: limit over all servers, with those that are being established.
         address_of: returns where a server listens now; None if nothing may be sent to it.
     """
@@ -469,14 +469,14 @@
     def __init__(
         self,
         connect_timeout: float,
-        idle_close: float,
+        server_idle_timeout: float,
         max_connections: int,
         address_of: Callable[[str], Address | None],
     ) -> None:
         self.connect_timeout = connect_timeout
         self.max_connections = max_connections
         self.address_of = address_of
-        self.idle_timeout = idle_close * (1 - IDLE_TIMEOUT_MARGIN) - IDLE_CHECK_INTERVAL
+        self.idle_timeout = server_idle_timeout * (1 - IDLE_TIMEOUT_MARGIN) - IDLE_CHECK_INTERVAL
         # One estimator for all servers: what drops idle connections is rarely specific to one of them.
         self.idle_loss = IdleLossEstimator()
         self.pools: dict[str, ConnectionPool] = {}
