--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -74,7 +74,7 @@
     return api.Server(name, zone, cell, 1.0, "k", state, started_at)
 
 
-class GatewayHarness:
+class PolicyHarness:
     """Runs the policy of one gateway on a clock of its own, starting with a cached server list.
 
     Attributes:
@@ -87,7 +87,7 @@
 
     def __init__(self, settings=None, servers=None, seed=1, start=1000.0):
         self.now, self.settings = start, settings or make_settings()
-        self.gateway = GatewayPolicy(self.settings, seed, start)
+        self.policy = GatewayPolicy(self.settings, seed, start)
         self.action_log, self.request_count = [], 0
         self.counter_totals = {}
         self.counter_mode = "answer"
@@ -96,7 +96,7 @@
 
     def handle(self, event):
         """Passes an event to the policy, answers its counter calls by `counter_mode`, returns all actions."""
-        actions = self.gateway.handle(self.now, event)
+        actions = self.policy.handle(self.now, event)
         self.action_log += [(self.now, action) for action in actions]
         for call in [action for action in actions if isinstance(action, api.AddToCounter)]:
             if self.counter_mode == "answer":
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -74,7 +74,7 @@
         await self.process.wait()
         await self.stack.aclose()
 
-    async def ask(self, id, **fields):
+    async def send_request(self, id, **fields):
         """Sends a request on a new connection and returns the response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(command(id, **fields))
@@ -101,7 +101,7 @@
         for error in ACCEPT_ERRORS:
             failed = gateway.faults[Field.ACCEPT_FAILED]
             gateway.faults.fail_accept(error)
-            waiting = [asyncio.create_task(gateway.ask(b"w%d-%d" % (n, error))) for n in range(8)]
+            waiting = [asyncio.create_task(gateway.send_request(b"w%d-%d" % (n, error))) for n in range(8)]
             await gateway.wait_for_failures(Field.ACCEPT_FAILED, failed + 1)
             for n in range(20):
                 writer.write(command(b"r%d-%d" % (n, error)))
@@ -144,7 +144,7 @@
         for error in CONNECT_ERRORS:
             failed = gateway.faults[Field.CONNECT_FAILED]
             gateway.faults.fail_connect(error)
-            tasks = [asyncio.create_task(gateway.ask(b"r%d-%d" % (n, error))) for n in range(5)]
+            tasks = [asyncio.create_task(gateway.send_request(b"r%d-%d" % (n, error))) for n in range(5)]
             await gateway.wait_for_failures(Field.CONNECT_FAILED, failed + 3)
             gateway.faults.fail_connect(0)
             assert await asyncio.gather(*tasks) == [CLIENT_REPLY] * 5
@@ -161,7 +161,7 @@
     gateway.faults.fail_socket(0)
     await startup
     try:
-        assert await gateway.ask(b"r1") == CLIENT_REPLY
+        assert await gateway.send_request(b"r1") == CLIENT_REPLY
     finally:
         await gateway.__aexit__()
 
@@ -176,7 +176,8 @@
         pid, (soft, hard) = gateway.process.pid, resource.prlimit(gateway.process.pid, resource.RLIMIT_NOFILE)
         gateway.server.writers.pop().close()  # the next attempt has to open a connection
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (3, hard))
-        waiting = [asyncio.create_task(gateway.ask(b"w%d" % n)) for n in range(5)]  # not accepted yet
+        # These connections are not accepted yet.
+        waiting = [asyncio.create_task(gateway.send_request(b"w%d" % n)) for n in range(5)]
         writer.write(command(b"second"))  # accepted, but without a connection to a server
         await asyncio.sleep(0.3)
         assert not any(task.done() for task in waiting)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from helpers import CELL_WRITE, GatewayHarness, actions_of, make_plan, make_server, make_settings
+from helpers import CELL_WRITE, PolicyHarness, actions_of, make_plan, make_server, make_settings
 
 from calicomast import interface as api
 from calicomast.membership import MIN_VIEW_SIZE, REBUILD_BATCH_SIZE, Membership
@@ -29,13 +29,13 @@
 
 def subset(members):
     """Returns the ids of the subset, in order."""
-    return [name for _, name in members.view[: members.subset_size]]
+    return [server_id for _, server_id in members.view[: members.subset_size]]
 
 
 def build_harness(servers, gateways=400, classes=None, index=0):
-    """Returns a scripted harness around one gateway out of `gateways`."""
+    """Returns the harness of one gateway out of `gateways`."""
     configuration = make_settings(plans=[LARGE_QUOTA], gateways=gateways, index=index)
-    return GatewayHarness(configuration, servers, seed=index)
+    return PolicyHarness(configuration, servers, seed=index)
 
 
 @pytest.mark.parametrize("gateways", [11, 33, 80, 200])
@@ -67,18 +67,20 @@
     generator, listed = random.Random(5), {}
     members = Membership(3, 400, True)
     for _ in range(20_000):
-        name = f"h{generator.randrange(6000)}"
+        server_id = f"h{generator.randrange(6000)}"
         state = generator.choice(("up", "up", "up", "leaving", "down"))
-        server = make_server(name, cell=generator.randrange(50), state=state)
-        listed[name] = server
+        server = make_server(server_id, cell=generator.randrange(50), state=state)
+        listed[server_id] = server
         members.apply(server)
         members.continue_rebuild()
     while members.is_rebuilding:
         members.continue_rebuild()
-    up = {name: server for name, server in listed.items() if server.state == "up"}
+    up = {server_id: server for server_id, server in listed.items() if server.state == "up"}
     assert members.up_count == len(up)
-    assert set(members.servers) == {name for name, server in listed.items() if server.state != "down"}
-    ranked = sorted((members.rank(name), name) for name in up)
+    assert set(members.servers) == {
+        server_id for server_id, server in listed.items() if server.state != "down"
+    }
+    ranked = sorted((members.rank(server_id), server_id) for server_id in up)
     assert members.has_partial_view and members.view == ranked[: len(members.view)]
     assert len(members.view) >= MIN_VIEW_SIZE // 2 >= members.subset_size
     cells = {cell: set(members.ids_in_cell(cell)) for cell in range(50)}
@@ -88,13 +90,13 @@
 def test_view_that_lost_most_servers_is_rebuilt_in_bounded_steps():
     servers = server_list(20_000)
     harness = build_harness(servers)
-    removed = sorted(servers, key=lambda server: harness.gateway.balancer.membership.rank(server.id))[:4000]
+    removed = sorted(servers, key=lambda server: harness.policy.balancer.membership.rank(server.id))[:4000]
     for start in range(0, len(removed), 100):
         servers_down = tuple(make_server(server.id, state="down") for server in removed[start : start + 100])
         harness.handle(api.ServerListUpdate("delta", 2, servers_down))
-    members = harness.gateway.balancer.membership
+    members = harness.policy.balancer.membership
     assert members.is_rebuilding and len(members.view) < MIN_VIEW_SIZE // 2
-    name, actions = harness.send_request()
+    _, actions = harness.send_request()
     assert actions_of(actions, api.Send) or members.view == []
     # The timer continues the rebuild even if no other event arrives.
     assert actions_of(harness.action_log and [action for _, action in harness.action_log], api.SetTimer)
@@ -105,19 +107,19 @@
         # The bound does not depend on the length of the list.
         assert lines < 20 * max(REBUILD_BATCH_SIZE, 2 * MIN_VIEW_SIZE)
     assert steps >= 5 and len(members.view) >= MIN_VIEW_SIZE
-    assert len(harness.gateway.balancer.subset) == members.subset_size
+    assert len(harness.policy.balancer.subset) == members.subset_size
     assert harness.send_request()[1]
 
 
 def change_lines(servers, gateways=3300):
     """Returns the mean number of Python lines executed for one change of the server list."""
     deployment = Deployment(gateways, servers)
-    harness = GatewayHarness(deployment.settings(0), deployment.hosts())
+    harness = PolicyHarness(deployment.settings(0), deployment.hosts())
     step = max(1, servers // 60)
     numbers = range(0, servers, step)
     changes = [(deployment.host(n, state),) for state in ("leaving", "up") for n in numbers]
     updates = [api.ServerListUpdate("delta", 2, changed) for changed in changes]
-    return executed_lines(lambda: [harness.gateway.handle(harness.now, update) for update in updates]) / len(
+    return executed_lines(lambda: [harness.policy.handle(harness.now, update) for update in updates]) / len(
         updates
     )
 
@@ -135,24 +137,24 @@
             used.add(send.server)
             harness.finish_attempt(send)
     assert (
-        len(harness.gateway.balancer.membership.servers) == 12_000
-        and harness.gateway.balancer.membership.up_count == 12_000
+        len(harness.policy.balancer.membership.servers) == 12_000
+        and harness.policy.balancer.membership.up_count == 12_000
     )
-    assert len(harness.gateway.balancer.servers) <= 2 * MIN_VIEW_SIZE
-    assert used <= {server.info.id for server in harness.gateway.balancer.subset}
-    assert len(harness.gateway.balancer.subset) == 37  # 10 x 12000 / 3300, rounded up
+    assert len(harness.policy.balancer.servers) <= 2 * MIN_VIEW_SIZE
+    assert used <= {server.info.id for server in harness.policy.balancer.subset}
+    assert len(harness.policy.balancer.subset) == 37  # 10 x 12000 / 3300, rounded up
 
 
 def test_change_of_one_server_leaves_the_rest_of_the_subset():
     harness = build_harness(server_list(12_000))
-    before = [server.info.id for server in harness.gateway.balancer.subset]
+    before = [server.info.id for server in harness.policy.balancer.subset]
     other = next(
-        n for n in harness.gateway.balancer.membership.servers if n not in harness.gateway.balancer.servers
+        n for n in harness.policy.balancer.membership.servers if n not in harness.policy.balancer.servers
     )
     harness.handle(api.ServerListUpdate("delta", 2, (make_server(other, state="leaving"),)))
-    assert [server.info.id for server in harness.gateway.balancer.subset] == before
+    assert [server.info.id for server in harness.policy.balancer.subset] == before
     harness.handle(api.ServerListUpdate("delta", 3, (make_server(before[0], state="leaving"),)))
-    after = [server.info.id for server in harness.gateway.balancer.subset]
+    after = [server.info.id for server in harness.policy.balancer.subset]
     assert after[:-1] == before[1:] and after[-1] not in before
 
 
@@ -161,12 +163,10 @@
     (send,) = actions_of(harness.send_request()[1], api.Send)
     # Many of the new servers rank before the one in use.
     harness.handle(api.ServerListUpdate("delta", 2, tuple(server_list(9000, 3000))))
-    assert harness.gateway.balancer.membership.has_partial_view and harness.gateway.balancer.subset
-    assert (
-        send.server in harness.gateway.balancer.servers and harness.gateway.balancer.attempts_in_flight == 1
-    )
+    assert harness.policy.balancer.membership.has_partial_view and harness.policy.balancer.subset
+    assert send.server in harness.policy.balancer.servers and harness.policy.balancer.attempts_in_flight == 1
     harness.finish_attempt(send)
-    assert harness.gateway.balancer.attempts_in_flight == 0
+    assert harness.policy.balancer.attempts_in_flight == 0
 
 
 def test_retry_bound_to_a_cell_uses_servers_outside_the_view():
@@ -176,10 +176,10 @@
         (first,) = actions_of(harness.send_request(service_class=CELL_WRITE.name)[1], api.Send)
         retry_sends = actions_of(harness.finish_attempt(first, "reset"), api.Send)
         for second in retry_sends:
-            cell = harness.gateway.balancer.membership.servers[first.server].cell
+            cell = harness.policy.balancer.membership.servers[first.server].cell
             assert (
                 second.server != first.server
-                and harness.gateway.balancer.membership.servers[second.server].cell == cell
+                and harness.policy.balancer.membership.servers[second.server].cell == cell
             )
             retries += 1
             harness.finish_attempt(second)
@@ -194,16 +194,16 @@
         harness.send_request()
         outside = [
             n
-            for n in harness.gateway.balancer.membership.servers
-            if n not in harness.gateway.balancer.membership
+            for n in harness.policy.balancer.membership.servers
+            if n not in harness.policy.balancer.membership
         ][:400]
         harness.handle(
             api.ServerListUpdate("delta", 2, tuple(make_server(n, started_at=harness.now) for n in outside))
         )
-        admitted = [n for n in outside if n in harness.gateway.balancer.servers]
+        admitted = [n for n in outside if n in harness.policy.balancer.servers]
         assert len(admitted) < 40  # of 400, because few gateways have a slot at each
         used += len(admitted)
-        assert all(harness.gateway.balancer.servers[n].slow_start is not None for n in admitted)
+        assert all(harness.policy.balancer.servers[n].slow_start is not None for n in admitted)
         harness.now += 30.0  # slow start is over
         harness.handle(api.ServerListUpdate("delta", 3, (make_server("h0", state="leaving"),)))
         harness.send_request()
@@ -219,13 +219,11 @@
         for _ in range(40):
             harness.handle(api.TimerExpired(0))
         (send,) = actions_of(harness.send_request()[1], api.Send)
-        assert send.server in {server.id for server in kept} and len(harness.gateway.balancer.subset) == max(
+        assert send.server in {server.id for server in kept} and len(harness.policy.balancer.subset) == max(
             8, -(-count // 40)
         )
         harness.finish_attempt(send)
-    assert {server.info.id for server in harness.gateway.balancer.up_servers} == {
-        server.id for server in kept
-    }
+    assert {server.info.id for server in harness.policy.balancer.up_servers} == {server.id for server in kept}
 
 
 def test_list_shorter_than_the_view_is_entirely_in_view():
@@ -233,7 +231,7 @@
     harness.handle(api.ServerListUpdate("full", 2, tuple(server_list(50))))
     for _ in range(40):
         harness.handle(api.TimerExpired(0))
-    assert {server.info.id for server in harness.gateway.balancer.up_servers} == {f"h{n}" for n in range(50)}
+    assert {server.info.id for server in harness.policy.balancer.up_servers} == {f"h{n}" for n in range(50)}
     (send,) = actions_of(harness.send_request()[1], api.Send)
     assert send.server in {f"h{n}" for n in range(50)}
 
@@ -243,7 +241,7 @@
     harness = build_harness(server_list(servers), gateways=gateways)
     (send,) = actions_of(harness.send_request()[1], api.Send)
     # The initial budget of one gateway of many can be below one retry.
-    harness.gateway.retry_budget = 5.0
+    harness.policy.retry_budget = 5.0
     sent = []
     lines = executed_lines(lambda: sent.extend(actions_of(harness.finish_attempt(send, "reset"), api.Send)))
     assert len(sent) == 1 and sent[0].server != send.server
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -58,9 +58,8 @@
         command(fields=command_fields(d="9" * 400)),
         command(fields=command_fields(d="9" * 12)),
         command(fields=command_fields(units="1e999")),
-        command(
-            fields=command_fields(c="write"), verb=b"API.WRITE", body=b"x"
-        ),  # a keyed class without a key
+        # A keyed class without a key.
+        command(fields=command_fields(c="write"), verb=b"API.WRITE", body=b"x"),
         command(fields=command_fields(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
     ],
 )
@@ -371,9 +370,8 @@
         assert connections[0].reads_paused
         writer.write(command(b"unread"))
         writer.close()
-        while (
-            harness.service.active_requests or harness.service.clients.connections
-        ):  # long before their deadlines
+        # Long before the deadlines of the requests.
+        while harness.service.active_requests or harness.service.clients.connections:
             await asyncio.sleep(0)
         assert not harness.service.clients.reading_paused
 
@@ -483,9 +481,8 @@
         ):
             await asyncio.sleep(0)
         (client,), client_connections = connections, harness.service.clients
-        client_connections.idle[client] -= (
-            clients.IDLE_TIMEOUT
-        )  # as if the first part had come at the idle timeout
+        # As if the first part had come at the idle timeout.
+        client_connections.idle[client] -= clients.IDLE_TIMEOUT
         client_connections.sweep()
         client.partial_since -= clients.MIN_PARTIAL_COMMAND_TIME
         writer.write(text[9:] + text[:9])  # the next command's time counts from its own first part
@@ -523,9 +520,8 @@
             await asyncio.sleep(0)
         harness.service.policy = policy
         harness.service.clients.drain()
-        for request in list(harness.service.active_requests.values())[
-            ::-1
-        ]:  # so that the first releases the others
+        # In reverse order, so that the first releases the others.
+        for request in list(harness.service.active_requests.values())[::-1]:
             harness.service.finish_request(request, CLIENT_REPLY)
         assert [await read_reply(reader) for _ in range(clients.MAX_PENDING_COMMANDS + 2)] == (
             [CLIENT_REPLY] * (clients.MAX_PENDING_COMMANDS + 1) + [b""]
@@ -563,9 +559,9 @@
         while not harness.service.clients.reading_paused:
             await asyncio.sleep(0)
         writer.write(command(b"last"))
-        asked = time.monotonic()
+        sent_at = time.monotonic()
         await asyncio.sleep(0.4)
-        waited = time.monotonic() - asked  # the command has not been read before now
+        waited = time.monotonic() - sent_at  # the command has not been read before now
         harness.service.policy = policy
         for request in list(harness.service.active_requests.values()):
             harness.service.finish_request(request, CLIENT_REPLY)
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -179,24 +179,24 @@
         while any(connection.transport is None for connection in connections):
             await asyncio.sleep(0)
 
-        async def ask(n):
+        async def send_request(n):
             return (await harness.send_command(command(b"r%d" % n, command_fields(spread=2)))) == CLIENT_REPLY
 
-        await ask(1)
+        await send_request(1)
         (tenant_quota,) = harness.service.policy.tenant_quotas.values()
         # At the same offset in its windows, at whatever time the test runs.
         now = tenant_quota.window_start + tenant_quota.window_length + 0.5
         for window in range(4):  # this gateway alone uses all that the counter reports, though two share it
             harness.service.clock = lambda at=now + 2 * window: at
             for n in range(14):
-                await ask(100 * window + n)
+                await send_request(100 * window + n)
         harness.counter.server.close()
         for writer in harness.counter.writers:
             writer.transport.abort()
         while any(connection.transport for connection in connections):
             await asyncio.sleep(0)
         harness.service.clock = lambda: now + 20
-        assert sum([await ask(1000 + n) for n in range(20)]) > 15
+        assert sum([await send_request(1000 + n) for n in range(20)]) > 15
 
 
 @on_loop
--- a/tests/test_net_server_connections.py
+++ b/tests/test_net_server_connections.py
@@ -72,7 +72,7 @@
 async def test_malformed_response_of_a_server_is_not_served(malformed, tmp_path):
     async with StubServer(malformed) as server, GatewayHarness(server, path=tmp_path) as harness:
         began = time.process_time()
-        assert (await harness.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
+        assert (await harness.send_command(write_command(service_class=b"note"))).startswith(b"-ERR")
         # CPU time is limited, and hiredis took over a second for some of these responses.
         assert time.process_time() - began < 0.5
         server.answer = SERVER_REPLY
@@ -102,7 +102,7 @@
 @on_loop
 async def test_late_response_is_not_delivered_to_a_later_request(tmp_path):
     async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as harness:
-        assert (await harness.send_command(write_command(cls=b"note", d=300))).startswith(b"-ERR")
+        assert (await harness.send_command(write_command(service_class=b"note", d=300))).startswith(b"-ERR")
         assert await server.arrived.get() and await server.arrived.get() is None  # None: connection closed
         server.writers[0].write(b"*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n")
         server.answer = SERVER_REPLY
@@ -116,7 +116,7 @@
         StubServer(b"") as two,
         GatewayHarness(one, two, path=tmp_path) as harness,
     ):
-        assert (await harness.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
+        assert (await harness.send_command(write_command(service_class=b"note"))).startswith(b"-ERR")
         assert len(one.commands) + len(two.commands) == 1
 
 
@@ -125,7 +125,7 @@
     turns = iter([b"-BUSY active=3\r\n", SERVER_REPLY])
     async with StubServer() as one, StubServer() as two, GatewayHarness(one, two, path=tmp_path) as harness:
         one.answer = two.answer = lambda: next(turns)
-        assert await harness.send_command(write_command(cls=b"note")) == CLIENT_REPLY
+        assert await harness.send_command(write_command(service_class=b"note")) == CLIENT_REPLY
         assert [c[2] for c in one.commands + two.commands] == [b"r1", b"r1"]
 
 
@@ -135,7 +135,7 @@
         server.server.close()
         await server.server.wait_closed()
         # The request did not run, so the client may retry.
-        assert (await harness.send_command(write_command(cls=b"note"))).startswith(b"-BUSY")
+        assert (await harness.send_command(write_command(service_class=b"note"))).startswith(b"-BUSY")
 
 
 @on_loop
@@ -239,18 +239,18 @@
     monkeypatch.setattr(server_connections, "monotonic", lambda: now)
     async with StubServer(None) as server, GatewayHarness(server, path=tmp_path) as harness:
 
-        async def ask(name):
+        async def send_request(name):
             task = asyncio.create_task(harness.send_command(command(name)))
             while not await server.arrived.get():
                 pass
             return task
 
         response_a, response_b = b"*3\r\n$1\r\na\r\n$-1\r\n$-1\r\n", b"*3\r\n$1\r\nb\r\n$-1\r\n$-1\r\n"
-        task = await ask(b"a")
+        task = await send_request(b"a")
         server.writers[0].write(response_a)
         assert await task == b"$1\r\na\r\n"
         now += 0.005
-        task = await ask(b"b")
+        task = await send_request(b"b")
         server.writers[0].write(response_a)
         server.writers[-1].write(response_b)
         assert await task == b"$1\r\nb\r\n"
@@ -278,7 +278,7 @@
     async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
         with monkeypatch.context() as patch:
             patch.setattr("calicomast.net.server_connections.read_response", lambda *_: 1 / 0)
-            assert (await harness.send_command(write_command(cls=b"note"))).startswith(b"-ERR")
+            assert (await harness.send_command(write_command(service_class=b"note"))).startswith(b"-ERR")
         assert not harness.service.server_connections.connections
         assert await harness.send_command(command(b"r2")) == CLIENT_REPLY
 
@@ -339,17 +339,17 @@
 async def test_connections_are_not_reused_after_an_idle_time_that_leads_to_resets(tmp_path):
     async with IdleResettingServer() as server, GatewayHarness(server, path=tmp_path) as harness:
 
-        async def ask(n, idle_time):
+        async def send_request(n, idle_time):
             """Sends a request after the idle connections have been idle for so many seconds."""
             for pool in harness.service.server_connections.pools.values():
                 for connection in pool.idle:
                     connection.idle_since = time.monotonic() - idle_time
             return await harness.send_command(command(b"r%d" % n))
 
-        replies = [await ask(n, 1.0) for n in range(40)]
+        replies = [await send_request(n, 1.0) for n in range(40)]
         assert replies.count(CLIENT_REPLY) >= 34 and replies[-20:] == [CLIENT_REPLY] * 20
         server.dropping, made_before = False, server.connections_made
-        assert [await ask(n, 0.05) for n in range(50, 60)] == [CLIENT_REPLY] * 10
+        assert [await send_request(n, 0.05) for n in range(50, 60)] == [CLIENT_REPLY] * 10
         # Connections that were idle for less are still reused.
         assert server.connections_made <= made_before + 1
 
@@ -436,7 +436,7 @@
             return reusable
 
         monkeypatch.setattr(server_connections.Connection, "is_reusable", reset_after_check)
-        assert await harness.send_command(write_command(cls=b"note")) == CLIENT_REPLY
+        assert await harness.send_command(write_command(service_class=b"note")) == CLIENT_REPLY
         assert policy.results == ["connect_failed"] and len(other.commands) == 1
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -3,13 +3,13 @@
 import random
 
 import pytest
-from helpers import GatewayHarness, actions_of, make_plan, make_server, make_settings
+from helpers import PolicyHarness, actions_of, make_plan, make_server, make_settings
 
 from calicomast import interface as api
 
 
 def count_served(harness, requests, **request):
-    """Asks so many times, answers every attempt at once, and returns the number of attempts."""
+    """Sends so many requests, answers every attempt at once, and returns the number of attempts."""
     served = 0
     for _ in range(requests):
         _, actions = harness.send_request(**request)
@@ -20,13 +20,13 @@
 
 
 def test_tenant_with_low_demand_causes_no_counter_call():
-    harness = GatewayHarness()
+    harness = PolicyHarness()
     assert count_served(harness, 1) == 1
     assert not [action for _, action in harness.action_log if isinstance(action, api.AddToCounter)]
 
 
 def test_leases_are_counted_and_the_quota_holds():
-    harness = GatewayHarness()
+    harness = PolicyHarness()
     served = count_served(harness, 40)
     assert 8 <= served <= 16  # the burst, and the refill in the part of the window that has passed
     assert [action for _, action in harness.action_log if isinstance(action, api.AddToCounter)]
@@ -34,7 +34,7 @@
 
 
 def test_exhausted_window_refuses_at_once_without_a_call():
-    harness = GatewayHarness()
+    harness = PolicyHarness()
     count_served(harness, 40)
     before = len([action for _, action in harness.action_log if isinstance(action, api.AddToCounter)])
     _, actions = harness.send_request()
@@ -42,7 +42,7 @@
 
 
 def test_no_two_bursts_are_admitted_across_a_window_change():
-    harness = GatewayHarness()
+    harness = PolicyHarness()
     served = 0
     start = harness.now
     while harness.now < start + 12:
@@ -52,7 +52,7 @@
 
 
 def test_excess_of_a_lease_is_returned_to_the_counter():
-    harness = GatewayHarness()
+    harness = PolicyHarness()
     harness.counter_mode = "hold"
     calls, sends = [], True
     while sends:  # the last request waits for the outstanding call
@@ -70,17 +70,17 @@
 
 
 def test_timed_out_call_grants_no_units_and_leaves_no_request_waiting():
-    harness = GatewayHarness()
+    harness = PolicyHarness()
     harness.counter_mode = "silent"
     start = harness.now
     served = count_served(harness, 60)
     assert served <= 8 / 2 + 2 * (harness.now - start) + 4  # the even share, never a lease
-    assert all(not pending.stage == "units" for pending in harness.gateway.requests.values())
-    assert harness.gateway.tenant_quotas["c"].lease == 0
+    assert all(not pending.stage == "units" for pending in harness.policy.requests.values())
+    assert harness.policy.tenant_quotas["c"].lease == 0
 
 
 def test_calls_back_off_while_the_counter_does_not_answer():
-    harness = GatewayHarness()
+    harness = PolicyHarness()
     harness.counter_mode = "silent"
     for _ in range(200):
         harness.send_request()
@@ -89,18 +89,18 @@
 
 
 def test_counts_lost_by_the_counter_are_added_again():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=20.0)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=2.0, burst=20.0)]))
     count_served(harness, 12)
-    name = max(harness.counter_totals, key=lambda each: harness.counter_totals[each])
-    added = harness.counter_totals[name]
+    counter_key = max(harness.counter_totals, key=lambda each: harness.counter_totals[each])
+    added = harness.counter_totals[counter_key]
     assert added > 3
     harness.counter_totals.clear()
     count_served(harness, 3)
-    assert harness.counter_totals[name] >= added
+    assert harness.counter_totals[counter_key] >= added
 
 
 def test_charge_of_a_rejected_call_stays_due():
-    harness = GatewayHarness()
+    harness = PolicyHarness()
     harness.counter_mode = "refuse"
     served = count_served(harness, 30)
     harness.counter_mode = "answer"
@@ -114,7 +114,7 @@
         rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0
     )
     for mode in ("answer", "silent", "refuse"):
-        harness = GatewayHarness(make_settings(plans=[plan_with_ceiling]))
+        harness = PolicyHarness(make_settings(plans=[plan_with_ceiling]))
         harness.counter_mode = mode
         start, served = harness.now, 0
         while harness.now < start + 3:
@@ -126,8 +126,8 @@
 
 def test_concurrency_limit_holds_over_gateways():
     limited = make_plan(rate=50.0, burst=100.0, concurrency_limit=2)
-    first = GatewayHarness(make_settings(plans=[limited]))
-    second = GatewayHarness(make_settings(plans=[limited], index=1), seed=2)
+    first = PolicyHarness(make_settings(plans=[limited]))
+    second = PolicyHarness(make_settings(plans=[limited], index=1), seed=2)
     second.counter_totals = first.counter_totals
     sends = []
     for _ in range(3):
@@ -140,14 +140,14 @@
 
 
 def test_over_quota_requests_are_admitted_only_if_the_plan_earns_by_it():
-    harness = GatewayHarness(make_settings(plans=[make_plan(over_quota_value=0.3, over_quota_cost=0.0)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(over_quota_value=0.3, over_quota_cost=0.0)]))
     assert count_served(harness, 40) == 40
-    harness = GatewayHarness(make_settings(plans=[make_plan(over_quota_value=0.3, over_quota_cost=0.5)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(over_quota_value=0.3, over_quota_cost=0.5)]))
     assert count_served(harness, 40) < 40
 
 
 def test_even_share_is_admitted_if_there_is_no_counter():
-    harness = GatewayHarness(make_settings(counter_enabled=False))
+    harness = PolicyHarness(make_settings(counter_enabled=False))
     served = count_served(harness, 40)
     assert 4 <= served <= 8 and not [
         action for _, action in harness.action_log if isinstance(action, api.AddToCounter)
@@ -155,12 +155,12 @@
 
 
 def test_plan_without_a_rate_needs_only_concurrency_slots():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.0, burst=0.0, concurrency_limit=3)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=0.0, burst=0.0, concurrency_limit=3)]))
     assert count_served(harness, 30) == 30
 
 
 def test_actual_units_of_a_request_are_charged():
-    harness = GatewayHarness(make_settings(settles_actual_units=True))
+    harness = PolicyHarness(make_settings(settles_actual_units=True))
     _, actions = harness.send_request()
     send = actions_of(actions, api.Send)[0]
     harness.finish_attempt(send, actual_units=6)
@@ -168,38 +168,38 @@
 
 
 def test_idle_tenant_saves_up_at_most_one_burst():
-    harness = GatewayHarness()
+    harness = PolicyHarness()
     window_length = 4.0
     harness.send_request()
-    window_start = harness.gateway.tenant_quotas["c"].window_start
+    window_start = harness.policy.tenant_quotas["c"].window_start
     harness.now = window_start + 2 * window_length - 0.5  # late in a window without any use
     served = count_served(harness, 60)
     assert served <= 8 + 4 + 1  # the burst, and what the local allowance admits without a charge
 
 
 def test_overdraft_is_carried_into_the_next_window_once():
-    first, second = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)])), None
-    second = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)], index=1), seed=2)
+    first, second = PolicyHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)])), None
+    second = PolicyHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)], index=1), seed=2)
     second.counter_totals = first.counter_totals
     start = 0.0
     for window in range(6):
         for harness in (first, second):
             harness.now = max(first.now, second.now)
             count_served(harness, 60)
-        start = first.gateway.tenant_quotas["c"].window_start
+        start = first.policy.tenant_quotas["c"].window_start
         first.now = second.now = start + 4.0 + 0.001
         assert max(first.counter_totals.values()) <= 40 + 10 * 4 + 3, window  # no debt beyond what was used
 
 
 def test_even_share_of_the_concurrency_limit_needs_no_call():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=4)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=4)]))
     actions = harness.send_request()[1] + harness.send_request()[1]
     assert len(actions_of(actions, api.Send)) == 2 and not actions_of(actions, api.AddToCounter)
     assert not actions_of(harness.send_request()[1], api.Send)
 
 
 def test_small_burst_over_many_gateways_admits_low_demand_and_bounds_high_demand():
-    harness = GatewayHarness(make_settings(gateways=10, plans=[make_plan(rate=0.8, burst=3.0)]))
+    harness = PolicyHarness(make_settings(gateways=10, plans=[make_plan(rate=0.8, burst=3.0)]))
     for number in range(20):
         _, actions = harness.send_request(tenant=f"c{number}", spread=8)
         assert actions_of(actions, api.Send)
@@ -210,7 +210,7 @@
 
 
 def test_end_of_a_quota_is_reserved_for_the_most_valuable_class():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=40.0)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=0.5, burst=40.0)]))
     low = count_served(harness, 100, service_class="read")
     high = count_served(harness, 100, service_class="write")
     assert high >= 5  # without the reserve nothing would be left
@@ -218,7 +218,7 @@
 
 
 def test_leasing_resumes_within_two_seconds_after_the_counter_answers_again():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
     harness.counter_mode = "silent"
     for _ in range(80):
         for send in actions_of(harness.send_request()[1], api.Send):
@@ -229,7 +229,7 @@
         for send in actions_of(harness.send_request()[1], api.Send):
             harness.finish_attempt(send)
         harness.advance(0.04)
-    assert harness.gateway.counter.failures == 0
+    assert harness.policy.counter.failures == 0
     assert [
         action for at, action in harness.action_log if isinstance(action, api.AddToCounter) and at > start
     ]
@@ -240,7 +240,7 @@
         make_settings(index=index, plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=3)])
         for index in (0, 1)
     ]
-    first, second = GatewayHarness(both[0]), GatewayHarness(both[1], seed=2)
+    first, second = PolicyHarness(both[0]), PolicyHarness(both[1], seed=2)
     second.counter_totals = first.counter_totals
     assert (
         sum(
@@ -253,21 +253,21 @@
 
 
 def test_requests_waiting_for_a_timed_out_call_get_only_the_local_allowance():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=8.0)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=0.5, burst=8.0)]))
     harness.counter_mode = "hold"
     calls, sent = [], 0
     for _ in range(12):
         actions = harness.send_request()[1]
         calls, sent = calls + actions_of(actions, api.AddToCounter), sent + len(actions_of(actions, api.Send))
     actions = harness.handle(api.CounterResult(calls[0].counter_key, "timeout", 0, 0.05))
-    assert harness.gateway.tenant_quotas["c"].lease == 0 and sent + len(actions_of(actions, api.Send)) <= 5
+    assert harness.policy.tenant_quotas["c"].lease == 0 and sent + len(actions_of(actions, api.Send)) <= 5
     assert len(actions_of(actions, api.Refuse)) >= 3
 
 
 def test_overdraft_after_an_idle_time_is_taken_from_the_next_window():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=40.0)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=2.0, burst=40.0)]))
     harness.send_request()
-    harness.now = harness.gateway.tenant_quotas["c"].window_start + 2 * 20.0 - 0.5
+    harness.now = harness.policy.tenant_quotas["c"].window_start + 2 * 20.0 - 0.5
     served, start = count_served(harness, 120), harness.now
     assert served <= 80
     harness.now += 1.0
@@ -279,7 +279,7 @@
     for gateways in (1, 3, 200):
         served = 0
         for index in range(gateways):
-            harness = GatewayHarness(
+            harness = PolicyHarness(
                 make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateways=gateways, index=index),
                 seed=index,
             )
@@ -289,7 +289,7 @@
 
 
 def test_granted_rate_of_a_plan_is_admitted_while_the_counter_does_not_answer():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateways=100))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateways=100))
     before = 0
     for number in range(200):
         before += count_served(harness, 1, tenant=f"b{number}", spread=60)
@@ -302,13 +302,13 @@
 
 
 def test_tenants_seen_once_are_dropped_while_another_request_is_open():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=1000.0, burst=4000.0)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=1000.0, burst=4000.0)]))
     busy = harness.send_request("busy", remaining_time=1000.0)[1]
     for number in range(2000):
         for send in actions_of(harness.send_request(f"c{number}")[1], api.Send):
             harness.finish_attempt(send)
         harness.now += 0.1
-    assert len(harness.gateway.tenant_quotas) < 350 and busy
+    assert len(harness.policy.tenant_quotas) < 350 and busy
 
 
 def test_malformed_response_of_the_counter_does_not_stop_the_next_call():
@@ -317,7 +317,7 @@
         ("timeout", 0.002, True),
         ("timeout", 0.05, False),
     ):
-        harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)]))
+        harness = PolicyHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)]))
         harness.counter_mode = "hold"
         calls = []
         while not calls:
@@ -336,7 +336,7 @@
 
 
 def test_units_added_by_a_call_with_a_malformed_response_are_not_lost():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=40.0)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=0.001, burst=40.0)]))
     counts, calls = harness.counter_totals, 0
     harness.counter_mode = "hold"
     sent = refused = 0
@@ -359,10 +359,10 @@
 
 
 def test_units_are_added_again_once_when_the_counter_lost_its_counts():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=100.0)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=0.001, burst=100.0)]))
     while len([action for _, action in harness.action_log if isinstance(action, api.AddToCounter)]) < 6:
         count_served(harness, 1)
-    (name,), before = harness.counter_totals, max(harness.counter_totals.values())
+    (counter_key,), before = harness.counter_totals, max(harness.counter_totals.values())
     harness.counter_totals.clear()
     logged = len(harness.action_log)
     count_served(harness, 12)
@@ -370,7 +370,7 @@
         action.amount for _, action in harness.action_log[logged:] if isinstance(action, api.AddToCounter)
     ]
     # The units were added again once, not with each call.
-    assert len(amounts) > 4 and harness.counter_totals[name] <= before + 14
+    assert len(amounts) > 4 and harness.counter_totals[counter_key] <= before + 14
 
 
 def next_units_call(harness):
@@ -384,10 +384,10 @@
 
 
 def test_overdraft_is_added_although_the_first_response_is_lost():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
     harness.counter_mode = "hold"
     call = next_units_call(harness)
-    harness.gateway.tenant_quotas["c"].debt = 5.0
+    harness.policy.tenant_quotas["c"].debt = 5.0
     # The connection broke: the amount may have been added.
     harness.handle(api.CounterResult(call.counter_key, "timeout", 0.0, 0.002))
     second = next_units_call(harness)
@@ -396,16 +396,15 @@
 
 
 def test_rejected_correction_is_not_taken_for_a_lost_count():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    harness = PolicyHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
     harness.counter_mode = "hold"
     call = next_units_call(harness)
-    harness.gateway.tenant_quotas["c"].debt = 5.0
+    harness.policy.tenant_quotas["c"].debt = 5.0
     assert actions_of(
         harness.handle(api.CounterResult(call.counter_key, "ok", call.amount, 0.002)), api.AddToCounter
     )
-    harness.handle(
-        api.CounterResult(call.counter_key, "full", 0.0, 0.002)
-    )  # the call that adds the overdraft
+    # The call that adds the overdraft.
+    harness.handle(api.CounterResult(call.counter_key, "full", 0.0, 0.002))
     second = next_units_call(harness)
     actions = harness.handle(api.CounterResult(call.counter_key, "ok", call.amount + second.amount, 0.002))
     assert sum(correction.amount for correction in actions_of(actions, api.AddToCounter)) < call.amount
@@ -413,7 +412,7 @@
 
 def harness_with_rejecting_counter(mode="refuse"):
     """One of 40 gateways; its counter rejects all calls unless `mode` says otherwise."""
-    harness = GatewayHarness(
+    harness = PolicyHarness(
         make_settings(plans=[make_plan(rate=0.5, burst=2.0)], gateways=40),
         [make_server(f"h{n}") for n in range(60)],
     )
@@ -421,9 +420,9 @@
     return harness
 
 
-def count_admitted(harness, customer="c"):
+def count_admitted(harness, tenant="c"):
     """Sends a request of a tenant with 30 gateways and returns the number of attempts, which are answered."""
-    sends = actions_of(harness.send_request(tenant=customer, spread=30)[1], api.Send)
+    sends = actions_of(harness.send_request(tenant=tenant, spread=30)[1], api.Send)
     for send in sends:
         harness.finish_attempt(send)
     return len(sends)
@@ -462,7 +461,7 @@
 def test_tenant_just_within_its_rate_is_rarely_refused_with_many_gateways():
     rng, counts = random.Random(5), {}
     harnesses = [
-        GatewayHarness(
+        PolicyHarness(
             make_settings(gateways=20, plans=[make_plan(rate=4.0, burst=8.0)], index=index), seed=index
         )
         for index in range(20)
@@ -479,7 +478,7 @@
 
 def harness_with_low_rate_tenants(**changes):
     """One of 20 gateways; a tenant's even share of the burst is less than a unit."""
-    return GatewayHarness(make_settings(gateways=20, limits={"max_retry_after": 60.0}, **changes))
+    return PolicyHarness(make_settings(gateways=20, limits={"max_retry_after": 60.0}, **changes))
 
 
 @pytest.mark.parametrize("share, least, most", [(0.99, 0.95, 1.0), (0.6, 0.02, 0.5)])
@@ -487,21 +486,21 @@
     """The counter rejects all calls, after it granted the part `share` of the units at every demand level."""
     harness = harness_with_low_rate_tenants(plans=[make_plan(over_quota_cost=1.0)])
     harness.counter_mode = "refuse"
-    for statistics in harness.gateway.grant_statistics.values():
+    for statistics in harness.policy.grant_statistics.values():
         statistics.granted_share, statistics.observations = share, 50
-    admitted = asked = 0
+    admitted = sent = 0
     for number in range(600):
-        asked += 1
+        sent += 1
         for send in actions_of(harness.send_request(tenant=f"c{number}", spread=20)[1], api.Send):
             admitted += 1
             harness.finish_attempt(send)
         harness.advance(0.02)
-    assert least <= admitted / asked <= most
+    assert least <= admitted / sent <= most
 
 
 def test_class_without_value_is_admitted():
-    worthless = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 0.0, 0.0, False, 0.0)
-    harness = harness_with_low_rate_tenants(classes={"read": worthless})
+    without_value = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 0.0, 0.0, False, 0.0)
+    harness = harness_with_low_rate_tenants(classes={"read": without_value})
     assert [
         action
         for number in range(30)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,7 +1,7 @@
 """A request until its answer: retries, hedged attempts, waiting, refusals, load shedding, server choice."""
 
 import pytest
-from helpers import GatewayHarness, actions_of, make_plan, make_server, make_settings
+from helpers import PolicyHarness, actions_of, make_plan, make_server, make_settings
 
 from calicomast import interface as api
 
@@ -10,15 +10,16 @@
 
 def make_harness(servers=None, **changes):
     """Makes a gateway whose only plan refuses no request."""
-    return GatewayHarness(make_settings(plans=[UNLIMITED], **changes), servers)
+    return PolicyHarness(make_settings(plans=[UNLIMITED], **changes), servers)
 
 
 def test_every_request_gets_one_answer_even_without_servers():
-    harness = GatewayHarness(servers=[])
-    name, actions = harness.send_request()
+    harness = PolicyHarness(servers=[])
+    request_id, actions = harness.send_request()
     actions = actions + harness.advance(3.0)
     assert (
-        len([each for each in actions if isinstance(each, (api.Refuse, api.Fail)) and each.id == name]) == 1
+        len([each for each in actions if isinstance(each, (api.Refuse, api.Fail)) and each.id == request_id])
+        == 1
     )
 
 
@@ -44,8 +45,8 @@
     ]
 
 
-@pytest.mark.parametrize("cls", ["write", "cellwrite"])
-def test_keyed_request_is_retried_only_in_its_scope_and_time(cls):
+@pytest.mark.parametrize("service_class", ["write", "cellwrite"])
+def test_keyed_request_is_retried_only_in_its_scope_and_time(service_class):
     servers = [
         make_server("a1", "z1", 1),
         make_server("a2", "z1", 1),
@@ -53,7 +54,7 @@
         make_server("b2", "z2", 2),
     ]
     harness = make_harness(servers)
-    send = actions_of(harness.send_request(service_class=cls)[1], api.Send)[0]
+    send = actions_of(harness.send_request(service_class=service_class)[1], api.Send)[0]
     retries = actions_of(harness.finish_attempt(send, "error"), api.Send)
     assert [retry.server[0] for retry in retries] == [send.server[0]]
     harness = make_harness(servers)
@@ -79,7 +80,7 @@
 def test_server_in_slow_start_gets_a_bounded_load_from_all_gateways_together(gateways):
     servers = [make_server(f"h{number}") for number in range(10)]
     harnesses = [
-        GatewayHarness(make_settings(plans=[UNLIMITED], gateways=gateways, index=index), servers, seed=index)
+        PolicyHarness(make_settings(plans=[UNLIMITED], gateways=gateways, index=index), servers, seed=index)
         for index in range(gateways)
     ]
     sent_in_slow_start, total, now, live = [], 0, 1000.0, []
@@ -163,9 +164,9 @@
 
 def test_late_and_unknown_events_cause_no_answer_and_no_error():
     harness = make_harness()
-    name, actions = harness.send_request()
+    request_id, actions = harness.send_request()
     send = actions_of(actions, api.Send)[0]
-    harness.handle(api.ClientDisconnected(name))
+    harness.handle(api.ClientDisconnected(request_id))
     actions = harness.finish_attempt(send, "ok", final=True)
     assert not [each for each in actions if isinstance(each, (api.Refuse, api.Fail, api.Send))]
     harness.handle(api.ClientDisconnected("never"))
@@ -177,7 +178,7 @@
 
 def test_watch_on_discovery_starts_again_after_a_failure():
     on_request = make_settings(discovery="ask")
-    harness = GatewayHarness(on_request)
+    harness = PolicyHarness(on_request)
     assert [action for _, action in harness.action_log if action == api.WatchServerList(True)]
     harness.handle(api.ServerListUpdate("failed", 0, ()))
     assert api.WatchServerList(True) in harness.advance(1.2)
@@ -191,12 +192,12 @@
     assert not [action for action in actions if getattr(action, "id", None) == send.id]
 
 
-@pytest.mark.parametrize("cls", ["write", "cellwrite"])
-def test_keyed_request_fails_if_its_scope_has_no_other_server(cls):
+@pytest.mark.parametrize("service_class", ["write", "cellwrite"])
+def test_keyed_request_fails_if_its_scope_has_no_other_server(service_class):
     harness = make_harness(
         [make_server("a1", "z1", 1), make_server("b1", "z2", 2), make_server("b2", "z2", 2)]
     )
-    send = actions_of(harness.send_request(service_class=cls)[1], api.Send)[0]
+    send = actions_of(harness.send_request(service_class=service_class)[1], api.Send)[0]
     assert send.server == "a1"
     actions = harness.finish_attempt(send, "error")
     assert not actions_of(actions, api.Send) and len(actions_of(actions, api.Fail)) == 1
@@ -210,7 +211,7 @@
 @pytest.mark.parametrize("result", ["full", "error", "timeout"])
 def test_server_that_fails_one_plan_or_class_still_serves_the_others(result):
     bad, good = {"plan": "p", "service_class": "note"}, {"plan": "q", "service_class": "read"}
-    harness = GatewayHarness(
+    harness = PolicyHarness(
         make_settings(plans=[UNLIMITED, make_plan("q", rate=1000.0, burst=4000.0)], gateways=1),
         [make_server("h1")],
     )
@@ -237,7 +238,7 @@
     for gateways in (1, 200):
         retries = 0
         for index in range(gateways):
-            harness = GatewayHarness(
+            harness = PolicyHarness(
                 make_settings(plans=[UNLIMITED], gateways=gateways, index=index), seed=index
             )
             send = actions_of(harness.send_request()[1], api.Send)[0]
@@ -258,39 +259,41 @@
         for send in actions_of(harness.send_request(tenant=f"c{number}")[1], api.Send):
             harness.finish_attempt(send)
         harness.now += 1.0
-    assert len(harness.gateway.tenant_quotas) < 70
+    assert len(harness.policy.tenant_quotas) < 70
 
 
 def test_server_overload_sheds_the_least_valuable_class_with_many_gateways():
-    harness = GatewayHarness(
+    harness = PolicyHarness(
         make_settings(plans=[UNLIMITED], gateways=50), [make_server(f"h{number}") for number in range(10)]
     )
     served = {"read": 0, "write": 0}
     for number in range(400):
-        cls = ("read", "write")[number % 2]
-        for send in actions_of(harness.send_request(service_class=cls)[1], api.Send):
-            served[cls] += 1
+        service_class = ("read", "write")[number % 2]
+        for send in actions_of(harness.send_request(service_class=service_class)[1], api.Send):
+            served[service_class] += 1
             harness.finish_attempt(send, report={"queue": 30.0, "util": 1.0}, elapsed=0.9)
         harness.now += 0.05
     assert served["read"] < 0.5 * served["write"] and served["write"] < 150
 
 
 def test_queued_request_is_given_up_once_an_attempt_would_miss_the_latency_target():
-    harness = GatewayHarness(make_settings(gateways=1), [make_server("h1")])
-    name, actions = harness.send_request()
+    harness = PolicyHarness(make_settings(gateways=1), [make_server("h1")])
+    request_id, actions = harness.send_request()
     (send,), arrived = actions_of(actions, api.Send), harness.now
     # With a mean of 0.6 s and a latency target of 1 s, an attempt must begin within 0.4 s.
-    harness.gateway.balancer.mean_latency["read"] = 0.6
-    assert harness.gateway.max_queue_time(harness.gateway.requests[name]) <= 0.4
+    harness.policy.balancer.mean_latency["read"] = 0.6
+    assert harness.policy.max_queue_time(harness.policy.requests[request_id]) <= 0.4
     harness.now += 0.3
     harness.handle(api.ServerListUpdate("delta", 2, (make_server("h2", started_at=harness.now),)))
     # The server is in slow start, and its budget is spent for 2 s.
-    harness.gateway.balancer.servers["h2"].slow_start.record_send(harness.now, 99.0, ("other", 0))
+    harness.policy.balancer.servers["h2"].slow_start.record_send(harness.now, 99.0, ("other", 0))
     actions = harness.finish_attempt(send, "reset")
     assert not actions_of(actions, api.Refuse | api.Fail)
     actions = harness.advance(0.6)
     ends = [
-        at for at, each in harness.action_log if isinstance(each, api.Refuse | api.Fail) and each.id == name
+        at
+        for at, each in harness.action_log
+        if isinstance(each, api.Refuse | api.Fail) and each.id == request_id
     ]
     assert actions_of(actions, api.Refuse | api.Fail) and ends[0] <= arrived + 0.4 + 0.05
 
@@ -298,8 +301,8 @@
 @pytest.mark.parametrize("result", ["full", "reset", "timeout", "error", "connect_failed"])
 def test_no_request_has_more_attempts_than_the_settings_allow(result):
     servers = [make_server(f"h{number}") for number in range(1, 9)]
-    harness = GatewayHarness(make_settings(gateways=1, limits={"max_attempts": 3, "hedging": True}), servers)
-    name, actions = harness.send_request()
+    harness = PolicyHarness(make_settings(gateways=1, limits={"max_attempts": 3, "hedging": True}), servers)
+    request_id, actions = harness.send_request()
     sends = actions_of(actions, api.Send)
     for number in range(8):
         if number < len(sends):
@@ -307,20 +310,20 @@
             harness.handle(api.ServerListUpdate("delta", 2 + number, (make_server(f"new{number}"),)))
             sends += actions_of(harness.finish_attempt(sends[number], result, attempt=number), api.Send)
             sends += actions_of(harness.advance(0.3), api.Send)  # a hedged attempt, where one is late
-    assert len([send for send in sends if send.id == name]) <= 3
+    assert len([send for send in sends if send.id == request_id]) <= 3
 
 
 @pytest.mark.parametrize("result", api.NOT_STARTED_RESULTS)
 def test_attempt_that_never_began_is_not_counted_and_not_held_against_a_server(result):
-    harness = GatewayHarness(
+    harness = PolicyHarness(
         make_settings(gateways=1, limits={"max_attempts": 1}), [make_server("h1"), make_server("h2")]
     )
-    name, actions = harness.send_request()
+    request_id, actions = harness.send_request()
     sends = actions_of(actions, api.Send)
     for number in range(3):
         actions = harness.finish_attempt(sends[-1], result, attempt=number) + harness.advance(0.12)
         sends += actions_of(actions, api.Send)
         assert len(sends) == number + 2 and not actions_of(actions, api.Refuse)
-    detector = harness.gateway.balancer.detector
+    detector = harness.policy.balancer.detector
     assert not detector.estimates
     assert actions_of(harness.finish_attempt(sends[-1], "full", attempt=3), api.Refuse)  # this attempt counts
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from helpers import GatewayHarness, actions_of, make_plan, make_server, make_settings
+from helpers import PolicyHarness, actions_of, make_plan, make_server, make_settings
 
 from calicomast import interface as api
 from calicomast.slow_start import SlowStartAdmission, gateway_position, slow_start_charge
@@ -74,7 +74,7 @@
             index=index,
             rules=slow_start_rules(RULES),
         )
-        harness = GatewayHarness(configuration, [make_server("h1", started_at=1000.0)], seed=index)
+        harness = PolicyHarness(configuration, [make_server("h1", started_at=1000.0)], seed=index)
         sends = [send for _ in range(5) for send in actions_of(harness.send_request()[1], api.Send)]
         sends_by_position[gateway_position("h1", 1000.0, index, 40)] = len(sends)
     budget = sum(sends_by_position.values())
