--- a/calicomast/adapter.py
+++ b/calicomast/adapter.py
@@ -15,10 +15,16 @@
 
 from calicomast import interface as api
 from calicomast.policy import GatewayPolicy
-from calicomast.settings import NANOSECONDS, read_boolean, read_load_report, read_settings, to_seconds
-
-SERVER_STATES = {"U": "up", "L": "leaving", "D": "down"}
-RESULTS = {
+from calicomast.settings import (
+    NANOSECONDS_PER_SECOND,
+    read_boolean,
+    read_load_report,
+    read_settings,
+    to_seconds,
+)
+
+STATES_BY_WIRE_NAME = {"U": "up", "L": "leaving", "D": "down"}
+RESULTS_BY_WIRE_NAME = {
     "GOOD": "ok",
     "BAD": "error",
     "FULL": "full",
@@ -67,7 +73,7 @@
         cell=int(fields.get("unit_group", 0)),
         weight=float(fields.get("heft", 1)),
         kind=fields.get("flavor", ""),
-        state=SERVER_STATES[fields["availability"]],
+        state=STATES_BY_WIRE_NAME[fields["availability"]],
         started_at=to_seconds(fields.get("ready_at", "0")),
     )
 
@@ -95,7 +101,7 @@
         id=fields["txn"],
         attempt=int(fields["attempt"]),
         server=fields["host"],
-        result=RESULTS[fields["reason"]],
+        result=RESULTS_BY_WIRE_NAME[fields["reason"]],
         elapsed=to_seconds(fields.get("time_taken", "0")),
         final=read_boolean(fields, "terminal"),
         quota_usage=int(float(fields.get("fleet_use", 0))),
@@ -115,13 +121,13 @@
     "REPORT_BACK": _outcome,
     "ADDED": lambda fields: api.CounterResult(
         counter_key=int(fields["entry_name"]),
-        result=RESULTS[fields["reason"]],
+        result=RESULTS_BY_WIRE_NAME[fields["reason"]],
         total=float(fields.get("now_at", 0)),
         elapsed=to_seconds(fields.get("time_taken", "0")),
     ),
     "PING_RESULT": lambda fields: api.ProbeResult(
         server=fields["host"],
-        result=RESULTS[fields["reason"]],
+        result=RESULTS_BY_WIRE_NAME[fields["reason"]],
         elapsed=to_seconds(fields.get("time_taken", "0")),
         report=_load_report(fields),
     ),
@@ -139,7 +145,7 @@
 
 def _nanoseconds(seconds: float) -> int:
     """Converts seconds to whole nanoseconds, rounded up."""
-    return math.ceil(seconds * NANOSECONDS)
+    return math.ceil(seconds * NANOSECONDS_PER_SECOND)
 
 
 # Functions that format an action for a gateway, by the action's type.
--- a/calicomast/leases.py
+++ b/calicomast/leases.py
@@ -250,12 +250,12 @@
 
     def on_units_result(self, now: float, tenant: TenantQuota, total: float, call: CounterCall) -> None:
         """Takes over the counter's total and the leased units, and corrects the count where it is wrong."""
-        own, correction, tolerance = call.amount, 0.0, TOTAL_TOLERANCE * max(1.0, total)
-        if total < tenant.added + own - tolerance:
+        amount, correction, tolerance = call.amount, 0.0, TOTAL_TOLERANCE * max(1.0, total)
+        if total < tenant.added + amount - tolerance:
             # The total is below what this gateway alone has added: the counter lost its counts. Add them
             # again; the new count holds nothing else of this gateway.
             correction, tenant.added = tenant.added, 0.0
-        elif total <= tenant.added + own + tenant.unconfirmed + tolerance:
+        elif total <= tenant.added + amount + tenant.unconfirmed + tolerance:
             # Only this gateway has added to the count, so it adds the overdraft of the windows before.
             correction, tenant.debt = tenant.debt, 0.0
         # A quota saves up one burst at most: what an idle tenant leaves unused above that is written off.
@@ -268,7 +268,7 @@
         excess = min(
             call.lease, max(0.0, math.ceil(total + correction + reserved - tenant.window_limit(now)))
         )
-        tenant.added += own + correction - excess
+        tenant.added += amount + correction - excess
         tenant.total = total + correction - excess
         tenant.lease += call.lease - excess
         tenant.found_exhausted_at = now if excess > 0 else -math.inf
@@ -309,7 +309,7 @@
         bound, and the mean response time.
         """
         tenant, plan = pending.tenant, pending.plan
-        own, shared = divmod(plan.concurrency_limit, tenant.spread)
+        own_slots, shared_slots = divmod(plan.concurrency_limit, tenant.spread)
         rate = max(tenant.total, tenant.used) / max(now - tenant.window_start, tenant.window_length / 4)
         mean_concurrency = (
             min(rate, plan.rate or rate)
@@ -322,11 +322,11 @@
         )
         cost = max(0.0, plan.over_quota_cost - plan.over_quota_value)
         pending.stage = "slot"
-        if tenant.own_slots_in_use < own:
+        if tenant.own_slots_in_use < own_slots:
             pending.held_slot = -1
             tenant.own_slots_in_use += 1
         elif (
-            shared
+            shared_slots
             and may_call
             and self.counter.is_available(now)
             and (
--- a/calicomast/net/framing.py
+++ b/calicomast/net/framing.py
@@ -81,6 +81,7 @@
                 break
             self.position, self.items_left = line_end + 2, self.items_left - 1
             if type_byte in b"$*":
+                # 42 is the code of "*", the type byte of an array.
                 self.apply_length(type_byte == 42, buffer[start + 1 : line_end], start)
             if self.position > MAX_MESSAGE_BYTES:
                 raise FramingError("message too long")
--- a/calicomast/net/program.py
+++ b/calicomast/net/program.py
@@ -54,12 +54,12 @@
     count: int  # since the start of the process
 
 
-async def serve(config: Config, sighups: SighupCounter, handled: int) -> None:
+async def serve(config: Config, sighups: SighupCounter, handled_sighups: int) -> None:
     """Runs one gateway until SIGTERM or SIGINT.
 
     Args:
-        handled: the count of SIGHUP signals when reading of the configuration began; a later one makes it be
-            read again.
+        handled_sighups: the count of SIGHUP signals when reading of the configuration began; a later signal
+            makes it be read again.
     """
     stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -69,7 +69,7 @@
     reloader = Reloader(service)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     loop.add_signal_handler(signal.SIGUSR1, service.log_counts)
-    if sighups.count > handled:
+    if sighups.count > handled_sighups:
         reloader.reload()
     port = await start_service(service, stop_requested)
     if port is None:
@@ -182,8 +182,8 @@
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     logging.getLogger().handlers[0].addFilter(RateLimitFilter())
     try:
-        handled = sighups.count
-        uvloop.run(serve(read_initial_config(sighups), sighups, handled))
+        handled_sighups = sighups.count
+        uvloop.run(serve(read_initial_config(sighups), sighups, handled_sighups))
     except (ConfigError, OSError) as err:
         print(f"calicomast: {err}", file=sys.stderr)
         return 2
--- a/calicomast/quota.py
+++ b/calicomast/quota.py
@@ -100,6 +100,7 @@
         self.low_rate = 0 < plan.burst < self.spread  # the even share of the burst is less than a unit
         self.refill_time = plan.burst / plan.rate if plan.rate else 1.0  # seconds to refill an empty burst
         self.window_length = self.refill_time * (LOW_RATE_WINDOW if self.low_rate else 1.0)  # seconds
+        # Seconds by which the tenant's windows are shifted; the same at all gateways.
         self.phase = stable_hash(self.name, "phase") % 4096 / 4096 * self.window_length
         self.window = self.window_at(now)
         self.window_start = self.window * self.window_length + self.phase
--- a/calicomast/rules.py
+++ b/calicomast/rules.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 MAX_PROCESS_PAUSE = 0.15  # seconds that the process may be suspended between reading its clock and writing
-MILLISECONDS = 1000  # per second
+MILLISECONDS_PER_SECOND = 1000
 
 
 class Verdict(Enum):
@@ -180,4 +180,4 @@
 
     `remaining_time` is in seconds.
     """
-    return max(1, math.floor(remaining_time * MILLISECONDS))
+    return max(1, math.floor(remaining_time * MILLISECONDS_PER_SECOND))
--- a/calicomast/servers.py
+++ b/calicomast/servers.py
@@ -455,11 +455,11 @@
             draws = (candidates[int(self.rng.random() * len(candidates))] for _ in range(MAX_DRAWS))
             random_draw = self.rng.random
             accepted = (s for s in draws if random_draw() < self.draw_weight(s, levels, now))
-            able = (s for s in accepted if self.may_send(s, now, levels, charge))
-            candidates = list(itertools.islice(able, sample_size)) or candidates
-        able_candidates = [s for s in candidates if self.may_send(s, now, levels, charge)]
+            available = (s for s in accepted if self.may_send(s, now, levels, charge))
+            candidates = list(itertools.islice(available, sample_size)) or candidates
+        available_candidates = [s for s in candidates if self.may_send(s, now, levels, charge)]
         return min(
-            able_candidates,
+            available_candidates,
             key=lambda s: self.score(s, levels, now) + TICK * self.rng.random(),
             default=None,
         )
--- a/calicomast/settings.py
+++ b/calicomast/settings.py
@@ -22,7 +22,7 @@
     "err_rps": "errors",
 }
 BOOLEANS = {"true": True, "1": True, "false": False, "0": False}
-NANOSECONDS = 1e9  # per second
+NANOSECONDS_PER_SECOND = 1e9
 
 
 def _items(node: Any) -> list[dict[str, Any]]:
@@ -37,7 +37,7 @@
 
 def to_seconds(value: Any) -> float:
     """Converts nanoseconds, as a number or text, to seconds."""
-    return int(value) / NANOSECONDS
+    return int(value) / NANOSECONDS_PER_SECOND
 
 
 def read_boolean(node: dict[str, Any], name: str, default: bool = False) -> bool:
--- a/calicomast/slow_start.py
+++ b/calicomast/slow_start.py
@@ -20,7 +20,7 @@
 # Fraction of the load that a server in slow start can take according to the rules. The rest is reserved for
 # gateways that have just restarted and have no record of what they sent.
 BUDGET_FRACTION = 0.9
-MILLISECONDS = 1000.0  # per second; discovery reports start times in whole milliseconds
+MILLISECONDS_PER_SECOND = 1000.0  # discovery reports start times in whole milliseconds
 
 
 def gateway_position(server_id: str, started_at: float, index: int, gateways: int) -> int:
@@ -29,7 +29,7 @@
     The order is an affine permutation of the gateway indexes that differs for each start. `started_at` is the
     clock time of the start in seconds.
     """
-    seed = stable_hash("cold", server_id, round(started_at * MILLISECONDS))
+    seed = stable_hash("cold", server_id, round(started_at * MILLISECONDS_PER_SECOND))
     step, shift = seed % gateways, seed // gateways % gateways
     while math.gcd(step, gateways) != 1:
         step += 1
