--- a/calicomast/net/attempts.py
+++ b/calicomast/net/attempts.py
@@ -27,7 +27,7 @@
     """Decides whether the attempts of one gateway may be written, and checks those that are.
 
     Args:
-        listed: returns whether requests may be sent to a server now.
+        is_available: returns whether requests may be sent to a server now.
         admits_delayed_attempt: returns whether an attempt (clock time, request id, attempt number, server)
             may still be written to a server in slow start whose connection was established late.
     """
@@ -36,11 +36,11 @@
         self,
         settings: api.Settings,
         clock: Clock,
-        listed: Callable[[str], bool],
+        is_available: Callable[[str], bool],
         admits_delayed_attempt: Callable[[float, str, int, str], bool],
         events: EventLog,
     ) -> None:
-        self._limits, self._clock, self._listed = settings.limits, clock, listed
+        self._limits, self._clock, self._is_available = settings.limits, clock, is_available
         self._admits_delayed_attempt, self._events = admits_delayed_attempt, events
 
     def may_write(self, attempt: Attempt, connected_late: bool) -> Verdict:
@@ -59,7 +59,7 @@
                 max_attempts=self._limits.max_attempts,
                 other_attempts=len(request.active_attempts) - (number in request.active_attempts),
                 hedging_allowed=self._limits.hedging,
-                server_listed=self._listed(attempt.server),
+                server_listed=self._is_available(attempt.server),
                 within_slow_start_budget=not (connected_late and attempt.slow_start)
                 or self._admits_delayed_attempt(self._clock(), request.id, number, attempt.server),
             )
@@ -74,20 +74,20 @@
         request, _ = attempt.request_and_number
         request.attempts_written += 1
         remaining = request.deadline - monotonic()
-        payload = request.encode_command(remaining)
-        self._check_invariants(attempt, request, payload, remaining)
-        return payload
+        command = request.encode_command(remaining)
+        self._check_invariants(attempt, request, command, remaining)
+        return command
 
     def _check_invariants(
-        self, attempt: Attempt, request: ActiveRequest, payload: bytes, remaining: float
+        self, attempt: Attempt, request: ActiveRequest, command: bytes, remaining: float
     ) -> None:
         """Checks an encoded command against the invariants.
 
         `remaining` is the time in seconds until the request's deadline.
         """
-        violated = self._find_violation(attempt, request, payload, remaining)
+        violated = self._find_violation(attempt, request, command, remaining)
         if violated is not None:
-            excerpt = payload[:MAX_LOGGED_BYTES]
+            excerpt = command[:MAX_LOGGED_BYTES]
             detail = (
                 f"request {request.id} attempt {attempt.request_and_number[1]} server {attempt.server} "
                 f"remaining {remaining:.3f} {excerpt!r}"
@@ -95,10 +95,10 @@
             MONITOR.record_violation(violated, detail)
 
     def _find_violation(
-        self, attempt: Attempt, request: ActiveRequest, payload: bytes, remaining: float
+        self, attempt: Attempt, request: ActiveRequest, command: bytes, remaining: float
     ) -> Invariant | None:
         """Returns the first invariant that the attempt violates, or None."""
-        limits, deadline = self._limits, PROPAGATED_DEADLINE.search(payload)
+        limits, deadline = self._limits, PROPAGATED_DEADLINE.search(command)
         if (
             deadline is None
             or int(deadline[1]) / MILLISECONDS_PER_SECOND > max(remaining, 0.0) + MAX_PROCESS_PAUSE
@@ -112,6 +112,6 @@
             return Invariant.SECOND_ATTEMPT
         if attempt.retry_deadline < math.inf and self._clock() > attempt.retry_deadline + MAX_PROCESS_PAUSE:
             return Invariant.REPEAT_WINDOW
-        if not self._listed(attempt.server):
+        if not self._is_available(attempt.server):
             return Invariant.SERVER_GONE
         return None
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -394,7 +394,7 @@
             return
         number = request.attempts_created
         request.attempts_created += 1
-        attempt = Attempt(action.server, self.prepare_payload, self.attempt_done, (request, number))
+        attempt = Attempt(action.server, self.build_command, self.attempt_done, (request, number))
         attempt.retry_deadline, attempt.slow_start = action.retry_deadline, action.slow_start
         verdict = self.attempt_control.may_write(attempt, connected_late=False)
         if verdict is not Verdict.ALLOWED:
@@ -414,7 +414,7 @@
         """Asks the policy whether slow start allows an attempt whose connection was established late."""
         return self.policy.admits_delayed_attempt(now, request_id, number, server_id)
 
-    def prepare_payload(self, attempt: Attempt) -> bytes | None:
+    def build_command(self, attempt: Attempt) -> bytes | None:
         """Returns the bytes to send to the server, or None if the attempt may not be sent any more.
 
         Called when its connection is ready to be written to.
--- a/calicomast/net/server_connections.py
+++ b/calicomast/net/server_connections.py
@@ -483,16 +483,16 @@
         self.connections: set[Connection] = set()
         self.idle_check_timer: asyncio.TimerHandle | None = None
 
-    def pool_for(self, server: str) -> ConnectionPool | None:
+    def pool_for(self, server_id: str) -> ConnectionPool | None:
         """Returns the connections to a server; None if nothing may be sent to it."""
-        pool = self.pools.get(server)
-        if pool is None and (address := self.address_of(server)) is not None:
-            pool = self.pools[server] = ConnectionPool(self, address)
+        pool = self.pools.get(server_id)
+        if pool is None and (address := self.address_of(server_id)) is not None:
+            pool = self.pools[server_id] = ConnectionPool(self, address)
         return pool
 
-    def stop_server(self, server: str) -> None:
+    def stop_server(self, server_id: str) -> None:
         """Sends nothing more to a server at the address that it has had until now."""
-        pool = self.pools.pop(server, None)
+        pool = self.pools.pop(server_id, None)
         if pool is not None:
             pool.stop()
 
@@ -506,9 +506,11 @@
         attempt.timer = loop.call_later(timeout, self.cancel_attempt, attempt, "timeout")
         pool.start_attempt(attempt)
 
-    def probe(self, server: str, on_done: Callable[[Attempt], None]) -> None:
+    def probe(self, server_id: str, on_done: Callable[[Attempt], None]) -> None:
         """Asks a server for its load report; `on_done` gets the attempt that did it."""
-        self.send(Attempt(server, lambda attempt: PROBE_COMMAND, on_done, PROBE_MARKER), self.connect_timeout)
+        self.send(
+            Attempt(server_id, lambda attempt: PROBE_COMMAND, on_done, PROBE_MARKER), self.connect_timeout
+        )
 
     def cancel_attempt(self, attempt: Attempt, result: str) -> None:
         """Ends an attempt with a result; "connect_failed" if it was not written completely.
@@ -554,10 +556,10 @@
         idle_longest.close()
         return True
 
-    def close_idle(self, server: str) -> None:
+    def close_idle(self, server_id: str) -> None:
         """Closes the idle connections to a server."""
-        if server in self.pools:
-            self.pools[server].close_idle()
+        if server_id in self.pools:
+            self.pools[server_id].close_idle()
 
     def close_expired_idle(self) -> None:
         """Closes connections that have been idle too long, and removes pools without connections.
@@ -567,11 +569,11 @@
         """
         self.idle_loss.decay(IDLE_CHECK_INTERVAL)
         before = monotonic() - min(self.idle_timeout, self.idle_loss.idle_limit)
-        for server, pool in list(self.pools.items()):
+        for server_id, pool in list(self.pools.items()):
             if pool.idle and pool.idle[0].idle_since < before:
                 pool.close_idle(before)
             if not pool.open_count and not pool.connecting:
-                del self.pools[server]
+                del self.pools[server_id]
 
     def start_idle_checks(self) -> None:
         """Closes expired idle connections now and at every IDLE_CHECK_INTERVAL."""
