--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -115,9 +115,9 @@
     return ",".join(f"{name}={value}" for name, value in fields.items() if value is not None).encode()
 
 
-def write_command(id=b"r1", service_class=b"write", d=3000):
-    """Encodes an API.WRITE command of a service class; `d`: the client's deadline in milliseconds."""
-    fields = b"c=%s,t=p,d=%d,k=77,units=1,spread=1,first=0" % (service_class, d)
+def write_command(id=b"r1", service_class=b"write", deadline_ms=3000):
+    """Encodes an API.WRITE command of a service class."""
+    fields = b"c=%s,t=p,d=%d,k=77,units=1,spread=1,first=0" % (service_class, deadline_ms)
     return command(id, fields, b"API.WRITE", body=b"BODY")
 
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -28,6 +28,7 @@
 
 @pytest.fixture
 def fake_time(monkeypatch):
+    """Replaces both clocks of the module calicomast.net.clock."""
     fake = FakeTime()
     monkeypatch.setattr(clock, "time", fake)
     return fake
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,7 @@
     assert 100 < sent < 140  # four per server over all gateways, not six
 
 
-def test_one_gateway_of_many_has_few_attempts_out_and_a_late_attempt_does_not_count():
+def test_one_gateway_of_many_has_few_attempts_in_flight_and_a_late_attempt_does_not_count():
     harness = PolicyHarness(
         make_settings(plans=[UNLIMITED], gateways=200), [make_server(f"h{number}") for number in range(50)]
     )
@@ -82,7 +82,7 @@
     assert len(harness.policy.balancer.detector.estimates) < 40
 
 
-def test_state_of_a_removed_server_is_kept_while_an_attempt_is_out():
+def test_state_of_a_removed_server_is_kept_while_an_attempt_is_in_flight():
     harness = PolicyHarness(make_settings(plans=[UNLIMITED]), [make_server("h1"), make_server("h2")])
     (send,) = actions_of(harness.send_request(service_class="note", remaining_time=3.0)[1], api.Send)
     other = "h2" if send.server == "h1" else "h1"
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -45,7 +45,9 @@
     async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as harness:
         started_at = time.monotonic()
         # The request may have run, so the reply is an error and not a refusal.
-        assert (await harness.send_command(write_command(service_class=b"note", d=2300))).startswith(b"-ERR")
+        assert (
+            await harness.send_command(write_command(service_class=b"note", deadline_ms=2300))
+        ).startswith(b"-ERR")
         assert time.monotonic() - started_at < 2.3
         assert len(server.commands) == 1
 
--- a/tests/test_net_http.py
+++ b/tests/test_net_http.py
@@ -41,6 +41,7 @@
 
 
 async def get(server, connection=None):
+    """Sends a request, by default on a new connection; returns the connection and the body."""
     connection = connection or HttpConnection("127.0.0.1", server.port, 1000)
     return connection, await connection.get("/v1/endpoints?index=1&wait=1")
 
--- a/tests/test_net_server_connections.py
+++ b/tests/test_net_server_connections.py
@@ -102,7 +102,9 @@
 @on_loop
 async def test_late_response_is_not_delivered_to_a_later_request(tmp_path):
     async with StubServer(answer=None) as server, GatewayHarness(server, path=tmp_path) as harness:
-        assert (await harness.send_command(write_command(service_class=b"note", d=300))).startswith(b"-ERR")
+        assert (await harness.send_command(write_command(service_class=b"note", deadline_ms=300))).startswith(
+            b"-ERR"
+        )
         assert await server.arrived.get() and await server.arrived.get() is None  # None: connection closed
         server.writers[0].write(b"*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n")
         server.answer = SERVER_REPLY
