--- a/calicomast/adapter.py
+++ b/calicomast/adapter.py
@@ -15,10 +15,16 @@
 
 from calicomast import interface as api
 from calicomast.policy import GatewayPolicy
-from calicomast.settings import NANOSECONDS, read_boolean, read_load_report, read_settings, to_seconds
-
-SERVER_STATES = {"U": "up", "L": "leaving", "D": "down"}
-RESULTS = {
+from calicomast.settings import (
+    NANOSECONDS_PER_SECOND,
+    read_boolean,
+    read_load_report,
+    read_settings,
+    to_seconds,
+)
+
+STATES_BY_WIRE_NAME = {"U": "up", "L": "leaving", "D": "down"}
+RESULTS_BY_WIRE_NAME = {
     "GOOD": "ok",
     "BAD": "error",
     "FULL": "full",
@@ -47,7 +53,7 @@
         for parent in parents:
             node = node.setdefault(parent, {})
             if not isinstance(node, dict):
-                raise WireError(f"setting {path} is below a setting that has a plain value")
+                raise WireError(f"setting {path} stands below a plain value")
         node[leaf] = value
     return root
 
@@ -67,7 +73,7 @@
         cell=int(fields.get("unit_group", 0)),
         weight=float(fields.get("heft", 1)),
         kind=fields.get("flavor", ""),
-        state=SERVER_STATES[fields["availability"]],
+        state=STATES_BY_WIRE_NAME[fields["availability"]],
         started_at=to_seconds(fields.get("ready_at", "0")),
     )
 
@@ -95,10 +101,10 @@
         id=fields["txn"],
         attempt=int(fields["attempt"]),
         server=fields["host"],
-        result=RESULTS[fields["reason"]],
+        result=RESULTS_BY_WIRE_NAME[fields["reason"]],
         elapsed=to_seconds(fields.get("time_taken", "0")),
         final=read_boolean(fields, "terminal"),
-        quota_use=int(float(fields.get("fleet_use", 0))),
+        quota_usage=int(float(fields.get("fleet_use", 0))),
         actual_units=float(fields.get("actual", 0)),
         report=_load_report(fields),
     )
@@ -114,14 +120,14 @@
     "WORK_ITEM": _request,
     "REPORT_BACK": _outcome,
     "ADDED": lambda fields: api.CounterResult(
-        name=int(fields["entry_name"]),
-        result=RESULTS[fields["reason"]],
+        counter_key=int(fields["entry_name"]),
+        result=RESULTS_BY_WIRE_NAME[fields["reason"]],
         total=float(fields.get("now_at", 0)),
         elapsed=to_seconds(fields.get("time_taken", "0")),
     ),
     "PING_RESULT": lambda fields: api.ProbeResult(
         server=fields["host"],
-        result=RESULTS[fields["reason"]],
+        result=RESULTS_BY_WIRE_NAME[fields["reason"]],
         elapsed=to_seconds(fields.get("time_taken", "0")),
         report=_load_report(fields),
     ),
@@ -139,7 +145,7 @@
 
 def _nanoseconds(seconds: float) -> int:
     """Converts seconds to whole nanoseconds, rounded up."""
-    return math.ceil(seconds * NANOSECONDS)
+    return math.ceil(seconds * NANOSECONDS_PER_SECOND)
 
 
 # Functions that format an action for a gateway, by the action's type.
@@ -153,7 +159,7 @@
     api.Fail: lambda gateway, action: f"DROP_REQUEST i={gateway} txn={action.id}",
     api.Cancel: lambda gateway, action: f"REVOKE i={gateway} txn={action.id} attempt={action.attempt}",
     api.AddToCounter: lambda gateway, action: (
-        f"CHARGE_COUNTER i={gateway} entry_name={action.name} by={action.amount:.7g} "
+        f"CHARGE_COUNTER i={gateway} entry_name={action.counter_key} by={action.amount:.7g} "
         f"forget_after={_nanoseconds(action.lifetime)}"
     ),
     api.SetTimer: lambda gateway, action: (
@@ -231,7 +237,7 @@
             else:
                 raise WireError(f"unknown event {word!r}")
             if word != "PROVISION" and gateway not in self.gateways:
-                raise WireError(f"gateway {gateway} has not been set up")
+                raise WireError(f"instance {gateway} has not been set up")
         except WireError as err:
             raise WireError(str(err), gateway) from err
         except KeyError as err:
@@ -264,7 +270,7 @@
             try:
                 now = to_seconds(_read_fields(parts)["at_time"])
             except (KeyError, ValueError) as err:
-                raise WireError(f"invalid clock time: {err}") from err
+                raise WireError(f"bad clock: {err}") from err
             while (line := self._next_line()) != "GO":
                 if line is None:
                     raise WireError("input ended inside a batch")
--- a/calicomast/leases.py
+++ b/calicomast/leases.py
@@ -45,7 +45,7 @@
 
     Attributes:
         grant_statistics: what the counter granted, by plan and demand level.
-        outstanding_calls: counter calls without a result, by count name, oldest first.
+        outstanding_calls: counter calls without a result, by counter key, oldest first.
         mean_value: moving average of a request's value.
         max_class_value: value of the most valuable class.
         value_within_quota: decaying sum of the value admitted within quotas.
@@ -94,11 +94,11 @@
 
     def units_left(self, now: float, pending: PendingRequest) -> float:
         """Returns the available units less the reserve and those of this request; negative if too few."""
-        return pending.tenant.available_units(now) - self.reserved_units(pending) - pending.req.units
+        return pending.tenant.available_units(now) - self.reserved_units(pending) - pending.request.units
 
     def take_units(self, now: float, pending: PendingRequest) -> bool:
         """Admits a request by the lease or the local allowance; returns whether there were enough units."""
-        tenant, units = pending.tenant, pending.req.units
+        tenant, units = pending.tenant, pending.request.units
         if self.units_left(now, pending) + tenant.lease < 0:
             return False
         allowance = tenant.local_allowance(now, self.counter.failures > 0) - tenant.uncharged
@@ -135,10 +135,10 @@
         if self.take_units(now, pending):
             return
         if now < tenant.exhausted_until or self.units_left(now, pending) < 0:
-            wait = (pending.req.units - available) / tenant.plan.rate
+            wait = (pending.request.units - available) / tenant.plan.rate
             self.handle_over_quota(now, pending, RefusalReason.OVER_QUOTA, wait)
         elif may_call and self.counter.is_available(now):
-            tenant.waiting.append(pending.req.id)
+            tenant.waiting.append(pending.request.id)
             self.schedule_check(now + 2 * self.counter.timeout + TICK, pending)
         else:
             self.decide_without_lease(now, pending)
@@ -146,7 +146,7 @@
     def decide_without_lease(self, now: float, pending: PendingRequest) -> None:
         """Admits a request without a lease if the counter would probably have granted one."""
         statistics = self.grant_statistics[pending.plan.name, pending.demand_level]
-        units = pending.req.units
+        units = pending.request.units
         counter_down, loss = self.counter.failures > 0, statistics.expected_loss(pending.plan)
         statistics.refill_credit(now)
         likely = (
@@ -186,7 +186,7 @@
         """
         if tenant.outstanding_call is not None or not self.counter.is_available(now):
             return
-        needed = sum(self.requests[i].req.units for i in tenant.waiting if i in self.requests)
+        needed = sum(self.requests[i].request.units for i in tenant.waiting if i in self.requests)
         size = tenant.lease_size(self.counter.price + FULL_LATENCY_COST * self.counter.latency**2)
         available = tenant.available_units(now)
         renewal_due = (
@@ -210,17 +210,17 @@
             stable_hash(tenant.name, tenant.window), call.amount, 3 * tenant.window_length, call
         )
 
-    def call_counter(self, name: int, amount: float, lifetime: float, call: CounterCall) -> None:
+    def call_counter(self, counter_key: int, amount: float, lifetime: float, call: CounterCall) -> None:
         """Adds an amount to a count; the counter keeps the count for the lifetime, 1 to 60 seconds."""
-        self.outstanding_calls.setdefault(name, []).append(call)
-        self.actions.append(api.AddToCounter(name, amount, min(60.0, max(lifetime, 1.0))))
+        self.outstanding_calls.setdefault(counter_key, []).append(call)
+        self.actions.append(api.AddToCounter(counter_key, amount, min(60.0, max(lifetime, 1.0))))
 
-    def on_counted(self, now: float, event: api.CounterResult) -> None:
+    def on_counter_result(self, now: float, event: api.CounterResult) -> None:
         """Handles the result of the oldest outstanding call for a count."""
-        if event.name not in self.outstanding_calls:
+        if event.counter_key not in self.outstanding_calls:
             return
-        call, *rest = self.outstanding_calls.pop(event.name)
-        self.outstanding_calls.update({event.name: rest} if rest else {})
+        call, *rest = self.outstanding_calls.pop(event.counter_key)
+        self.outstanding_calls.update({event.counter_key: rest} if rest else {})
         ok, tenant = event.result == "ok", call.tenant
         # A malformed response, or a connection that broke before the timeout, says nothing of the next call.
         early = event.result == "timeout" and event.elapsed < EARLY_TIMEOUT * self.counter.timeout
@@ -230,7 +230,7 @@
             tenant.outstanding_call = None
             tenant.advance_window(now)
             if call.window == tenant.window and ok:
-                self.on_units_counted(now, tenant, event.total, call)
+                self.on_units_result(now, tenant, event.total, call)
             elif call.window == tenant.window and event.result == "spoilt":
                 tenant.added += call.amount  # certainly added; the next call uses the leased units
                 tenant.unclaimed += call.lease
@@ -242,20 +242,20 @@
                 tenant.unconfirmed += call.amount
             self.decide_waiting(now, tenant, event.result != "full")
         elif call.kind == "slot":
-            self.on_slot_counted(now, event, call)
+            self.on_slot_result(now, event, call)
         elif call.window == tenant.window and event.result not in ("ok", "spoilt"):
             # The amount may be missing from the count, so a total without it does not mean a lost count.
             tenant.added -= call.amount
             tenant.unconfirmed += call.amount * (event.result == "timeout")
 
-    def on_units_counted(self, now: float, tenant: TenantQuota, total: float, call: CounterCall) -> None:
+    def on_units_result(self, now: float, tenant: TenantQuota, total: float, call: CounterCall) -> None:
         """Takes over the counter's total and the leased units, and corrects the count where it is wrong."""
-        own, correction, tolerance = call.amount, 0.0, TOTAL_TOLERANCE * max(1.0, total)
-        if total < tenant.added + own - tolerance:
+        amount, correction, tolerance = call.amount, 0.0, TOTAL_TOLERANCE * max(1.0, total)
+        if total < tenant.added + amount - tolerance:
             # The total is below what this gateway alone has added: the counter lost its counts. Add them
             # again; the new count holds nothing else of this gateway.
             correction, tenant.added = tenant.added, 0.0
-        elif total <= tenant.added + own + tenant.unconfirmed + tolerance:
+        elif total <= tenant.added + amount + tenant.unconfirmed + tolerance:
             # Only this gateway has added to the count, so it adds the overdraft of the windows before.
             correction, tenant.debt = tenant.debt, 0.0
         # A quota saves up one burst at most: what an idle tenant leaves unused above that is written off.
@@ -268,11 +268,11 @@
         excess = min(
             call.lease, max(0.0, math.ceil(total + correction + reserved - tenant.window_limit(now)))
         )
-        tenant.added += own + correction - excess
+        tenant.added += amount + correction - excess
         tenant.total = total + correction - excess
         tenant.lease += call.lease - excess
         tenant.found_exhausted_at = now if excess > 0 else -math.inf
-        needed = sum(pending.req.units for pending in waiting)
+        needed = sum(pending.request.units for pending in waiting)
         if needed:
             weight = 1 + call.extra / needed
             statistics = self.grant_statistics[tenant.plan.name, waiting[0].demand_level]
@@ -290,8 +290,8 @@
         """Decides the requests that waited for a call, those with the most value per unit first."""
         ids, tenant.waiting = tenant.waiting, []
         waiting = [self.requests[i] for i in ids if i in self.requests]
-        for pending in sorted(waiting, key=lambda each: -each.value / max(each.req.units, 1e-9)):
-            if tenant.available_units(now) + tenant.lease < pending.req.units:
+        for pending in sorted(waiting, key=lambda each: -each.value / max(each.request.units, 1e-9)):
+            if tenant.available_units(now) + tenant.lease < pending.request.units:
                 wait = max(0.0, 1 - tenant.available_units(now)) / tenant.plan.rate
                 # Under contention the other gateways wait for the same unit, so pause for longer.
                 contention = self.counter.latency > CONTENTION_LATENCY
@@ -309,11 +309,11 @@
         bound, and the mean response time.
         """
         tenant, plan = pending.tenant, pending.plan
-        own, shared = divmod(plan.concurrency_limit, tenant.spread)
+        own_slots, shared_slots = divmod(plan.concurrency_limit, tenant.spread)
         rate = max(tenant.total, tenant.used) / max(now - tenant.window_start, tenant.window_length / 4)
         mean_concurrency = (
             min(rate, plan.rate or rate)
-            / max(pending.req.units, 1e-9)
+            / max(pending.request.units, 1e-9)
             * self.balancer.mean_latency[pending.service_class.name]
         )
         over_probability = 1 - sum(
@@ -322,11 +322,11 @@
         )
         cost = max(0.0, plan.over_quota_cost - plan.over_quota_value)
         pending.stage = "slot"
-        if tenant.own_slots_in_use < own:
+        if tenant.own_slots_in_use < own_slots:
             pending.held_slot = -1
             tenant.own_slots_in_use += 1
         elif (
-            shared
+            shared_slots
             and may_call
             and self.counter.is_available(now)
             and (
@@ -340,7 +340,7 @@
         elif plan.concurrency_limit and (
             plan.concurrency_limit >= tenant.spread or over_probability * cost >= 1 - over_probability
         ):
-            self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT_REACHED)
+            self.handle_over_quota(now, pending, RefusalReason.CONCURRENCY_LIMIT_REACHED)
             return
         self.enqueue(now, pending)
 
@@ -351,13 +351,13 @@
         call = CounterCall(tenant, "slot" if pending else "correction", epoch, pending=pending)
         self.call_counter(stable_hash("open", tenant.name, epoch), amount, 2 * SLOT_EPOCH, call)
 
-    def on_slot_counted(self, now: float, event: api.CounterResult, call: CounterCall) -> None:
+    def on_slot_result(self, now: float, event: api.CounterResult, call: CounterCall) -> None:
         """Handles the result of the call that takes a shared slot for a request."""
         pending, tenant, ok = call.pending, call.tenant, event.result == "ok"
         if ok and (pending.finished or event.total > tenant.plan.concurrency_limit % tenant.spread):
             self.count_concurrent_request(tenant, call.window, -1)
         if ok and not pending.finished and event.total > tenant.plan.concurrency_limit % tenant.spread:
-            self.handle_over_quota(now, pending, RefusalReason.OPEN_LIMIT_REACHED)
+            self.handle_over_quota(now, pending, RefusalReason.CONCURRENCY_LIMIT_REACHED)
         elif not pending.finished:
             pending.held_slot = call.window if ok else 0
             self.enqueue(now, pending) if ok else self.take_slot(now, pending, False)
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -94,7 +94,9 @@
         self.state = ProcessState.SERVING
         self.event_log = EventLog()
         # Both times are in seconds; the shutdown timeout counts from SIGTERM.
-        longest = self.longest_deadline = max(cls.deadline for cls in self.settings.classes.values())
+        longest = self.longest_deadline = max(
+            service_class.deadline for service_class in self.settings.classes.values()
+        )
         self.shutdown_timeout = (
             min(longest, MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE - min(KILL_MARGIN, longest / 2)
         )
@@ -132,7 +134,7 @@
             api.Refuse: self.refuse,
             api.Fail: self.fail,
             api.Cancel: self.cancel,
-            api.AddToCounter: self.count,
+            api.AddToCounter: self.add_to_counter,
             api.SetTimer: self.set_timer,
             api.Probe: self.probe,
             api.CloseConnections: lambda action: self.server_connections.close_idle(action.server),
@@ -392,8 +394,8 @@
             return
         number = request.attempts_created
         request.attempts_created += 1
-        attempt = Attempt(action.server, self.prepare_payload, self.attempt_done, (request, number))
-        attempt.retry_until, attempt.slow_start = action.retry_deadline, action.slow_start
+        attempt = Attempt(action.server, self.build_command, self.attempt_done, (request, number))
+        attempt.retry_deadline, attempt.slow_start = action.retry_deadline, action.slow_start
         verdict = self.attempt_control.may_write(attempt, connected_late=False)
         if verdict is not Verdict.ALLOWED:
             if verdict is Verdict.CLIENT_GONE:
@@ -408,16 +410,16 @@
         )
         attempt.permitted = False
 
-    def admits_delayed_attempt(self, now: float, id: str, number: int, server: str) -> bool:
+    def admits_delayed_attempt(self, now: float, request_id: str, number: int, server_id: str) -> bool:
         """Asks the policy whether slow start allows an attempt whose connection was established late."""
-        return self.policy.admits_delayed_attempt(now, id, number, server)
+        return self.policy.admits_delayed_attempt(now, request_id, number, server_id)
 
-    def prepare_payload(self, attempt: Attempt) -> bytes | None:
+    def build_command(self, attempt: Attempt) -> bytes | None:
         """Returns the bytes to send to the server, or None if the attempt may not be sent any more.
 
         Called when its connection is ready to be written to.
         """
-        request, _ = attempt.tag
+        request, _ = attempt.request_and_number
         if not attempt.permitted:
             verdict = self.attempt_control.may_write(attempt, connected_late=True)
             if verdict is not Verdict.ALLOWED:
@@ -428,7 +430,7 @@
 
     def attempt_done(self, attempt: Attempt) -> None:
         """Answers the request of an attempt that has ended, if it succeeded, and reports it to the policy."""
-        request, number = attempt.tag
+        request, number = attempt.request_and_number
         result, was_finished = attempt.result, request.finished
         del request.active_attempts[number]
         if result != "ok":
@@ -452,7 +454,7 @@
                 result,
                 attempt.elapsed(),
                 request.finished,
-                quota_use=attempt.quota_usage,
+                quota_usage=attempt.quota_usage,
                 report=attempt.report,
             )
         )
@@ -471,16 +473,16 @@
         """Reports a probe that has ended to the policy."""
         self.submit_event(api.ProbeResult(attempt.server, attempt.result, attempt.elapsed(), attempt.report))
 
-    def count(self, action: api.AddToCounter) -> None:
+    def add_to_counter(self, action: api.AddToCounter) -> None:
         """Calls the counter service; without one the call fails in the next turn of the event loop."""
         if self.counter is None:
-            self.loop.call_soon(self.handle_counter_result, action.name, "connect_failed", 0.0, 0.0)
+            self.loop.call_soon(self.handle_counter_result, action.counter_key, "connect_failed", 0.0, 0.0)
         else:
-            self.counter.add(action.name, action.amount, action.lifetime, self.handle_counter_result)
+            self.counter.add(action.counter_key, action.amount, action.lifetime, self.handle_counter_result)
 
-    def handle_counter_result(self, name: int, result: str, total: float, elapsed: float) -> None:
+    def handle_counter_result(self, counter_key: int, result: str, total: float, elapsed: float) -> None:
         """Reports a call of the counter service that has ended to the policy."""
-        self.submit_event(api.CounterResult(name, result, total, elapsed))
+        self.submit_event(api.CounterResult(counter_key, result, total, elapsed))
 
     def set_timer(self, action: api.SetTimer) -> None:
         """Sets a timer of the policy."""
--- a/calicomast/net/server_connections.py
+++ b/calicomast/net/server_connections.py
@@ -32,9 +32,9 @@
 NEW_CONNECTION_COST = 0.1  # attempts; for the server's work on a new connection, and the time it takes
 MIN_SAVED_ATTEMPTS = 2.0  # a smaller saving by closing idle connections may be chance
 IDLE_LOSS_HALF_LIFE = 30.0  # seconds after which the counts of idle connections have decayed by half
-MAX_LOAD = 10_000.0  # of any figure in a load report; a larger one would distort the averages for long
-MAX_QUOTA_USAGE = 1_000_000  # percent of a tenant's rate; a larger number is not a usage figure
-PROBE_TAG = object()  # the tag of an attempt that is a probe
+MAX_LOAD = 10_000.0  # largest figure in a load report; a larger one would distort the averages for long
+MAX_QUOTA_USAGE = 1_000_000  # percent of a tenant's rate; a larger number is taken to be an error
+PROBE_MARKER = object()  # in place of request and number: the attempt is a probe
 PROBE_COMMAND = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
 
 Report = dict[str, float]
@@ -52,7 +52,8 @@
         build_command: called in the same step as the write; returns the bytes to write, or None if the
             attempt may no longer begin.
         on_done: called once with the attempt, when `result` is set.
-        tag: a value of the caller, or PROBE_TAG.
+        request_and_number: the request that the attempt belongs to and the number of the attempt; for a
+            probe, PROBE_MARKER.
         started_at: monotonic time at which the attempt was created.
         result: one of interface.ATTEMPT_RESULTS; empty until the attempt has ended.
         value: the value that the server returned.
@@ -62,7 +63,7 @@
         connection: the connection that it was handed to.
         timer: cancels the attempt at its timeout.
         state: AttemptState.
-        retry_until: clock time by which it has to be written, if it is a retry.
+        retry_deadline: clock time by which it has to be written, if it is a retry.
         slow_start: whether the server has just started, so that a write needs the policy's permission if the
             connection was established late.
         permitted: whether the caller has checked in this same step that the attempt may begin.
@@ -72,7 +73,7 @@
         "server",
         "build_command",
         "on_done",
-        "tag",
+        "request_and_number",
         "started_at",
         "result",
         "value",
@@ -81,7 +82,7 @@
         "connection",
         "timer",
         "state",
-        "retry_until",
+        "retry_deadline",
         "slow_start",
         "permitted",
     )
@@ -91,15 +92,15 @@
         server: str,
         build_command: Callable[[Attempt], bytes | None],
         on_done: Callable[[Attempt], None],
-        tag: Any = None,
+        request_and_number: Any = None,
     ) -> None:
         self.server = server
         self.build_command = build_command
         self.on_done = on_done
-        self.tag = tag
+        self.request_and_number = request_and_number
         self.started_at = monotonic()
         self.state = AttemptState.WAITING
-        self.retry_until = math.inf
+        self.retry_deadline = math.inf
         self.slow_start = False
         self.permitted = False
         self.result = ""
@@ -336,7 +337,7 @@
     Raises FramingError for a malformed response. The request may have been executed, and no value can be
     returned for it.
     """
-    if isinstance(response, list) and attempt.tag is not PROBE_TAG:
+    if isinstance(response, list) and attempt.request_and_number is not PROBE_MARKER:
         if len(response) != 3 or not isinstance(response[0], bytes) or len(response[0]) > MAX_BODY_BYTES:
             raise FramingError("malformed value in a server's response")
         attempt.value = response[0]
@@ -348,7 +349,7 @@
         words = str(response).split(" ")
         attempt.report = parse_report(words[-1])
         return "full" if words[0] == "BUSY" else "error"
-    if isinstance(response, bytes) and attempt.tag is PROBE_TAG:
+    if isinstance(response, bytes) and attempt.request_and_number is PROBE_MARKER:
         attempt.report = parse_report(response)
         return "ok"
     raise FramingError("unexpected type of a server's response")
@@ -460,7 +461,7 @@
 
     Args:
         connect_timeout: seconds; also the timeout of a probe.
-        idle_close: seconds after which the servers close an idle connection.
+        server_idle_timeout: seconds after which the servers close an idle connection.
         max_connections: limit over all servers, with those that are being established.
         address_of: returns where a server listens now; None if nothing may be sent to it.
     """
@@ -468,30 +469,30 @@
     def __init__(
         self,
         connect_timeout: float,
-        idle_close: float,
+        server_idle_timeout: float,
         max_connections: int,
         address_of: Callable[[str], Address | None],
     ) -> None:
         self.connect_timeout = connect_timeout
         self.max_connections = max_connections
         self.address_of = address_of
-        self.idle_timeout = idle_close * (1 - IDLE_TIMEOUT_MARGIN) - IDLE_CHECK_INTERVAL
+        self.idle_timeout = server_idle_timeout * (1 - IDLE_TIMEOUT_MARGIN) - IDLE_CHECK_INTERVAL
         # One estimator for all servers: what drops idle connections is rarely specific to one of them.
         self.idle_loss = IdleLossEstimator()
         self.pools: dict[str, ConnectionPool] = {}
         self.connections: set[Connection] = set()
         self.idle_check_timer: asyncio.TimerHandle | None = None
 
-    def pool_for(self, server: str) -> ConnectionPool | None:
+    def pool_for(self, server_id: str) -> ConnectionPool | None:
         """Returns the connections to a server; None if nothing may be sent to it."""
-        pool = self.pools.get(server)
-        if pool is None and (address := self.address_of(server)) is not None:
-            pool = self.pools[server] = ConnectionPool(self, address)
+        pool = self.pools.get(server_id)
+        if pool is None and (address := self.address_of(server_id)) is not None:
+            pool = self.pools[server_id] = ConnectionPool(self, address)
         return pool
 
-    def stop_server(self, server: str) -> None:
+    def stop_server(self, server_id: str) -> None:
         """Sends nothing more to a server at the address that it has had until now."""
-        pool = self.pools.pop(server, None)
+        pool = self.pools.pop(server_id, None)
         if pool is not None:
             pool.stop()
 
@@ -505,9 +506,11 @@
         attempt.timer = loop.call_later(timeout, self.cancel_attempt, attempt, "timeout")
         pool.start_attempt(attempt)
 
-    def probe(self, server: str, on_done: Callable[[Attempt], None]) -> None:
+    def probe(self, server_id: str, on_done: Callable[[Attempt], None]) -> None:
         """Asks a server for its load report; `on_done` gets the attempt that did it."""
-        self.send(Attempt(server, lambda attempt: PROBE_COMMAND, on_done, PROBE_TAG), self.connect_timeout)
+        self.send(
+            Attempt(server_id, lambda attempt: PROBE_COMMAND, on_done, PROBE_MARKER), self.connect_timeout
+        )
 
     def cancel_attempt(self, attempt: Attempt, result: str) -> None:
         """Ends an attempt with a result; "connect_failed" if it was not written completely.
@@ -553,10 +556,10 @@
         idle_longest.close()
         return True
 
-    def close_idle(self, server: str) -> None:
+    def close_idle(self, server_id: str) -> None:
         """Closes the idle connections to a server."""
-        if server in self.pools:
-            self.pools[server].close_idle()
+        if server_id in self.pools:
+            self.pools[server_id].close_idle()
 
     def close_expired_idle(self) -> None:
         """Closes connections that have been idle too long, and removes pools without connections.
@@ -566,11 +569,11 @@
         """
         self.idle_loss.decay(IDLE_CHECK_INTERVAL)
         before = monotonic() - min(self.idle_timeout, self.idle_loss.idle_limit)
-        for server, pool in list(self.pools.items()):
+        for server_id, pool in list(self.pools.items()):
             if pool.idle and pool.idle[0].idle_since < before:
                 pool.close_idle(before)
             if not pool.open_count and not pool.connecting:
-                del self.pools[server]
+                del self.pools[server_id]
 
     def start_idle_checks(self) -> None:
         """Closes expired idle connections now and at every IDLE_CHECK_INTERVAL."""
--- a/calicomast/rules.py
+++ b/calicomast/rules.py
@@ -1,9 +1,9 @@
 """Rules that decide whether an action may start: a write, an accept, a close or an update of the server list.
 
-Part of the policy: policy.py. The facts behind an earlier decision can change before the action runs, for
-example while a connection is established, while a request is queued or while the process is suspended. So
-the code that writes an attempt, closes a connection, accepts a request or applies a server list evaluates the
-rule in the same step as the action, with the facts of that moment, on every code path.
+Part of the policy, see policy.py. The facts behind an earlier decision can change before the action runs,
+for example while a connection is established, while a request is queued or while the process is suspended.
+So the code that writes an attempt, closes a connection, accepts a request or applies a server list evaluates
+the rule in the same step as the action, with the facts of that moment, on every code path.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from enum import Enum
 
 MAX_PROCESS_PAUSE = 0.15  # seconds that the process may be suspended between reading its clock and writing
-MILLISECONDS = 1000  # per second
+MILLISECONDS_PER_SECOND = 1000
 
 
 class Verdict(Enum):
@@ -44,7 +44,7 @@
     CEILING_REACHED = "ceiling reached"
     OVER_QUOTA = "beyond quota"
     COUNTER_UNAVAILABLE = "counter not heard"
-    OPEN_LIMIT_REACHED = "too many open"
+    CONCURRENCY_LIMIT_REACHED = "too many open"
     QUEUE_FULL = "queue full"
     QUEUE_TIMEOUT = "waited too long"
     RETRY_BUDGET_SPENT = "retries spent"
@@ -180,4 +180,4 @@
 
     `remaining_time` is in seconds.
     """
-    return max(1, math.floor(remaining_time * MILLISECONDS))
+    return max(1, math.floor(remaining_time * MILLISECONDS_PER_SECOND))
--- a/emulator/soak/sabotage.py
+++ b/emulator/soak/sabotage.py
@@ -90,12 +90,12 @@
     original_attempt_done = gateway.GatewayService.attempt_done
 
     def attempt_done(service: gateway.GatewayService, attempt: server_connections.Attempt) -> None:
-        request, _ = attempt.tag
+        request, _ = attempt.request_and_number
         original_attempt_done(service, attempt)
         if attempt.result == "ok":
             payload = request.encode_command(1.0)
             resent = server_connections.Attempt(
-                attempt.server, lambda _: payload, lambda _: None, server_connections.PROBE_TAG
+                attempt.server, lambda _: payload, lambda _: None, server_connections.PROBE_MARKER
             )
             call_later(seconds, service.server_connections.send, resent, 1.0)
 
