--- a/emulator/deployment.py
+++ b/emulator/deployment.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlanShape:
+class PlanQuota:
     """A plan's quota: `rate` in units a second, `burst` in units."""
 
     name: str = "standard"
@@ -28,19 +28,20 @@
     """Sizes and figures of one emulated deployment.
 
     Attributes:
-        aim, deadline: seconds within which an answer is wanted, and after which the client gives up.
-        cold_time: seconds until a started server is warm.
-        counter_timeout: seconds after which a call to the counter is given up.
+        latency_target: seconds within which a request should be answered.
+        deadline: seconds after which the client gives up.
+        slow_start_duration: seconds for which a started server is in slow start.
+        counter_timeout: seconds after which a gateway abandons a call to the counter.
     """
 
     gateways: int
     servers: int
     tenants: int = 1000
     zones: int = ZONES_AT_TARGET
-    plans: tuple[PlanShape, ...] = (PlanShape(),)
-    aim: float = 0.6
+    plans: tuple[PlanQuota, ...] = (PlanQuota(),)
+    latency_target: float = 0.6
     deadline: float = 1.5
-    cold_time: float = 18.0
+    slow_start_duration: float = 18.0
     counter: bool = True
     counter_timeout: float = 0.05
     extra_limits: dict[str, Any] = field(default_factory=dict)
@@ -67,14 +68,14 @@
             "answer_slack": 16 * MILLISECOND_NS,
             "drain_grace": SECOND_NS,
             "start_capacity": 0.15,
-            "cold": int(self.cold_time * SECOND_NS),
+            "cold": int(self.slow_start_duration * SECOND_NS),
             "fall_multiple": 3.0,
             "tip_after": SECOND_NS,
             "must_ask_in": 10 * SECOND_NS,
         }
         service = {
             "name": "fetch",
-            "slo": int(self.aim * SECOND_NS),
+            "slo": int(self.latency_target * SECOND_NS),
             "deadline": int(self.deadline * SECOND_NS),
             "effect": "pure",
             "gain": 1.0,
@@ -110,17 +111,19 @@
         """The id of a server; ids look as discovery's do."""
         return f"s-{(number * 2654435761) % 2**32:08x}"
 
-    def host(self, number: int, state: str = "up", started: float = 0.0) -> api.Server:
+    def server(self, number: int, state: str = "up", started: float = 0.0) -> api.Server:
         """A server as the decision module is told of it; `started` is a clock time in seconds, 0 long ago."""
         return api.Server(
             self.server_id(number), self.zone(number), number // 8, 1.0, "small", state, started
         )
 
-    def hosts(self) -> tuple[api.Server, ...]:
+    def all_servers(self) -> tuple[api.Server, ...]:
         """All servers, up and warm."""
-        return tuple(self.host(number) for number in range(self.servers))
+        return tuple(self.server(number) for number in range(self.servers))
 
-    def entry(self, number: int, address: str = "10.0.0.1:6379", state: str = "up") -> dict[str, Any]:
+    def discovery_entry(
+        self, number: int, address: str = "10.0.0.1:6379", state: str = "up"
+    ) -> dict[str, Any]:
         """A server in discovery's JSON form."""
         return {
             "id": self.server_id(number),
--- a/emulator/real/processes.py
+++ b/emulator/real/processes.py
@@ -20,8 +20,8 @@
 from emulator.deployment import Deployment
 from emulator.results import ROOT
 
-READY_WITHIN = 30.0  # seconds that a gateway may take to be ready
-ENDS_WITHIN = 5.0  # seconds that a process may take to end once it was told to
+READY_TIMEOUT = 30.0  # seconds that a gateway may take to be ready
+EXIT_TIMEOUT = 5.0  # seconds that a process may take to end once it was told to
 LOOK_EVERY = 0.005  # seconds between looks whether a gateway is ready
 PING, PONG = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
 LONGEST_ANSWER = 1024 * 1024  # bytes of a line that the stand-ins print
@@ -41,7 +41,7 @@
     peak: int
 
 
-def usage(pid: int) -> ProcessUsage:
+def process_usage(pid: int) -> ProcessUsage:
     """Reads /proc; raises ProcessError once the process is gone."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -53,7 +53,7 @@
     return ProcessUsage(cpu, int(sizes["VmRSS"][1]), int(sizes["VmHWM"][1]))
 
 
-async def end(process: asyncio.subprocess.Process) -> None:
+async def terminate(process: asyncio.subprocess.Process) -> None:
     """Ends a process that was started here: with SIGTERM, and SIGKILL where that is not heard in time."""
     for number in (signal.SIGTERM, signal.SIGKILL):
         if process.returncode is not None:
@@ -61,7 +61,7 @@
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(number)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(process.wait(), ENDS_WITHIN)
+            await asyncio.wait_for(process.wait(), EXIT_TIMEOUT)
 
 
 class StandInProcess:
@@ -81,7 +81,7 @@
 
 
 @contextlib.asynccontextmanager
-async def stand_ins() -> AsyncIterator[StandInProcess]:
+async def running_stand_ins() -> AsyncIterator[StandInProcess]:
     """Starts the stand-ins."""
     pipe = asyncio.subprocess.PIPE
     process = await asyncio.create_subprocess_exec(
@@ -100,7 +100,7 @@
             raise ProcessError("the stand-ins did not start")
         yield StandInProcess(process, json.loads(line))
     finally:
-        await end(process)
+        await terminate(process)
 
 
 class GatewayProcess:
@@ -116,7 +116,7 @@
 
     def usage(self) -> ProcessUsage:
         """What it has taken so far."""
-        return usage(self.process.pid)
+        return process_usage(self.process.pid)
 
     def hang_up(self) -> None:
         """Sends SIGHUP: the configuration is read again."""
@@ -124,14 +124,14 @@
 
     async def wait_until_ready(self, began: float) -> None:
         """Raises ProcessError if it ends or takes too long."""
-        while time.monotonic() - began < READY_WITHIN:
+        while time.monotonic() - began < READY_TIMEOUT:
             if self.process.returncode is not None:
                 raise ProcessError(f"the gateway ended with {self.process.returncode}")
-            if await answers_ping(self.port, READY_WITHIN):
+            if await answers_ping(self.port, READY_TIMEOUT):
                 self.ready_after = time.monotonic() - began
                 return
             await asyncio.sleep(LOOK_EVERY)
-        raise ProcessError(f"the gateway was not ready within {READY_WITHIN:g} s")
+        raise ProcessError(f"the gateway was not ready within {READY_TIMEOUT:g} s")
 
 
 async def answers_ping(port: int, within: float) -> bool:
@@ -152,7 +152,7 @@
 def configuration(deployment: Deployment, port: int, ports: dict[str, int], known: int) -> dict[str, Any]:
     """What a gateway is told at its start, with so many servers known."""
     address = f"127.0.0.1:{ports['server']}"
-    entries = [deployment.entry(number, address) for number in range(known)]
+    entries = [deployment.discovery_entry(number, address) for number in range(known)]
     return {
         "name": "gateway-0",
         "listen": f"127.0.0.1:{port}",
@@ -172,7 +172,7 @@
         return sock.getsockname()[1]
 
 
-def run_command() -> list[str]:
+def gateway_command() -> list[str]:
     """How deploy/balancer.toml runs a gateway, with the interpreter that runs the emulator."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     words = run.removeprefix("exec ").split()
@@ -180,7 +180,7 @@
 
 
 @contextlib.asynccontextmanager
-async def gateway(
+async def running_gateway(
     deployment: Deployment, ports: dict[str, int], known: int = 0
 ) -> AsyncIterator[GatewayProcess]:
     """Starts a real gateway and waits until it is ready; raises ProcessError if it is not."""
@@ -191,12 +191,12 @@
         log = (Path(folder) / "log").open("wb")
         began = time.monotonic()
         process = await asyncio.create_subprocess_exec(
-            *run_command(), cwd=ROOT, env={**env, "RELAY_CONFIG": str(config)}, stdout=log, stderr=log
+            *gateway_command(), cwd=ROOT, env={**env, "RELAY_CONFIG": str(config)}, stdout=log, stderr=log
         )
         started = GatewayProcess(process, port, config)
         try:
             await started.wait_until_ready(began)
             yield started
         finally:
-            await end(process)
+            await terminate(process)
             log.close()
--- a/emulator/real/standins.py
+++ b/emulator/real/standins.py
@@ -131,7 +131,7 @@
         return json.dumps(told, separators=(",", ":")).encode()
 
 
-def http_answer(body: bytes) -> bytes:
+def http_response(body: bytes) -> bytes:
     """A whole answer of discovery."""
     head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body)
     return head + body
@@ -167,7 +167,7 @@
         """Answers one call."""
         assert self.transport is not None
         body = await self.service.answer(dict(parse_qsl(urlsplit(target).query)))
-        self.transport.write(http_answer(body))
+        self.transport.write(http_response(body))
 
 
 class StandIns:
@@ -197,7 +197,7 @@
                 deployment = Deployment(told["gateways"], told["servers"])
                 address = f"127.0.0.1:{self.ports['server']}"
                 self.service.set_list(
-                    deployment.servers, lambda n, state: deployment.entry(n, address, state)
+                    deployment.servers, lambda n, state: deployment.discovery_entry(n, address, state)
                 )
                 return {"bytes": len(self.service.whole)}
             case "changes":
--- a/emulator/scenarios/accounts.py
+++ b/emulator/scenarios/accounts.py
@@ -6,7 +6,7 @@
 from calicomast.policy import GatewayPolicy
 from emulator.deployment import GATEWAYS_AT_TARGET, Deployment
 from emulator.measure import memory_megabytes
-from emulator.scenarios.base import Options, Row, Scenario, ladder
+from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 
 TENANTS = 32_000  # more than a gateway sees in a few minutes; a ninth of all
 SERVERS = 64
@@ -18,7 +18,7 @@
 
     def see_all() -> GatewayPolicy:
         gateway = GatewayPolicy(deployment.settings(0), seed, 1000.0)
-        gateway.handle(1000.0, api.ServerListUpdate("cached", 1, deployment.hosts()))
+        gateway.handle(1000.0, api.ServerListUpdate("cached", 1, deployment.all_servers()))
         for number in range(tenants):
             now = 1000.0 + number / tenants
             request = api.Request(f"r{number}", 1.5, f"{number:016x}", "standard", "fetch", 1.0, 0, 3)
@@ -37,7 +37,7 @@
 def run(options: Options) -> list[Row]:
     """Four sizes."""
     gateways = options.gateways or GATEWAYS_AT_TARGET
-    sizes = ladder(options.tenants or TENANTS)
+    sizes = geometric_sizes(options.tenants or TENANTS)
     rows = []
     for done, tenants in enumerate(sizes):
         options.progress(f"{tenants} tenants", done / len(sizes))
--- a/emulator/scenarios/base.py
+++ b/emulator/scenarios/base.py
@@ -48,7 +48,7 @@
     slopes: tuple[tuple[str, str], ...] = ()
 
 
-def ladder(largest: int, steps: int = 4, factor: float = 4.0, least: int = 1) -> list[int]:
+def geometric_sizes(largest: int, steps: int = 4, factor: float = 4.0, least: int = 1) -> list[int]:
     """Sizes up to `largest`, each `factor` times the one before; all different, `least` or more."""
     sizes = {max(least, math.ceil(largest / factor**step)) for step in range(steps)}
     return sorted(sizes)
--- a/emulator/scenarios/cold_start.py
+++ b/emulator/scenarios/cold_start.py
@@ -9,7 +9,7 @@
 
 from calicomast import interface as api
 from emulator.hollow import Attempt, HollowFleet
-from emulator.scenarios.base import Options, Row, Scenario, ladder
+from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 from emulator.server_model import ServerModel
 from emulator.virtual_time import Simulation
 
@@ -17,7 +17,7 @@
 BUSY = 0.6  # part of that which is asked for
 SERVERS = 24
 COLD = "h0"
-STARTED_AT, TROUBLE_AT, END = (
+STARTED_AT, FAILURE_AT, END = (
     4.0,
     7.0,
     9.0,
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class ColdStart:
+class SlowStartExperiment:
     """Many gateways, some of which see several times the mean, before servers one of which starts cold.
 
     Attributes:
@@ -57,7 +57,7 @@
         self.fleet = HollowFleet(
             self.simulation, self.settings, self.gateways, servers, None, self.seed, self.sent.append
         )
-        self.tell_all("cached")
+        self.send_list_to_all("cached")
 
     def settings(self, index: int) -> api.Settings:
         """Without a counter, so that the choice of servers is all that decides."""
@@ -89,14 +89,14 @@
         )
         return api.ServerListUpdate(mode, 1, tuple(hosts))
 
-    def tell_all(self, mode: str = "full") -> None:
+    def send_list_to_all(self, mode: str = "full") -> None:
         """Every gateway hears the whole list."""
         self.fleet.deliver_to_all(self.listed(mode))
 
-    def leave(self, names: list[str]) -> None:
+    def keep_only(self, names: list[str]) -> None:
         """Only these servers are left, and all are told at once."""
         self.names = names
-        self.tell_all()
+        self.send_list_to_all()
 
     def restart(self, part: float) -> None:
         """So large a part of the gateways starts anew, and is told of the list."""
@@ -104,10 +104,10 @@
             self.fleet.restart(index)
             self.fleet.deliver(index, self.listed("cached"))
 
-    def play(self, trouble: Callable[[ColdStart], None]) -> None:
-        """Plays to the end; `trouble` strikes three seconds after the server's start."""
-        self.simulation.at(STARTED_AT, self.tell_all)
-        self.simulation.at(TROUBLE_AT, trouble, self)
+    def run(self, failure: Callable[[SlowStartExperiment], None]) -> None:
+        """Plays to the end; `failure` strikes three seconds after the server's start."""
+        self.simulation.at(STARTED_AT, self.send_list_to_all)
+        self.simulation.at(FAILURE_AT, failure, self)
         shares = [self.generator.expovariate(1.0) for _ in range(self.gateways)]
         rate, at, number = SERVER_RATE * BUSY * SERVERS, 0.0, 0
         while at < END:
@@ -126,14 +126,14 @@
         request = api.Request(name, DEADLINE, customer, self.plan.name, READ.name, units, 0, 1)
         self.fleet.request(index, request)
 
-    def cold_attempts(self) -> list[Attempt]:
+    def slow_start_attempts(self) -> list[Attempt]:
         """What went to the cold server since it started."""
         return [attempt for attempt in self.sent if attempt.server == COLD and attempt.at >= STARTED_AT]
 
     def excess(self) -> float:
         """By how many requests of mean work the worst window passes what the rules let the server bear,
         N + 2 x root of N + 2; below 0 while they are kept."""
-        cold = self.cold_attempts()
+        cold = self.slow_start_attempts()
         mean = sum(attempt.units for attempt in self.sent) / len(self.sent)
         worst = -math.inf
         for first in cold:
@@ -144,44 +144,44 @@
         return worst
 
 
-def nothing(world: ColdStart) -> None:
+def no_failure(world: SlowStartExperiment) -> None:
     """No trouble."""
 
 
-def others_gone(world: ColdStart) -> None:
+def all_others_removed(world: SlowStartExperiment) -> None:
     """All warm servers go at once: each gateway is left with what it may send to the cold one."""
-    world.leave([COLD])
+    world.keep_only([COLD])
 
 
-def few_left(world: ColdStart) -> None:
+def most_others_removed(world: SlowStartExperiment) -> None:
     """All but two warm servers go at once."""
-    world.leave(world.names[:3])
+    world.keep_only(world.names[:3])
 
 
-def restarts(world: ColdStart) -> None:
+def gateways_restarted(world: SlowStartExperiment) -> None:
     """Seven in ten gateways start anew, and all warm servers go."""
     world.restart(0.7)
-    others_gone(world)
+    all_others_removed(world)
 
 
-TROUBLES = (nothing, few_left, others_gone, restarts)
+FAILURES = (no_failure, most_others_removed, all_others_removed, gateways_restarted)
 GATEWAYS = 230
 
 
 def run(options: Options) -> list[Row]:
     """Each trouble at three sizes."""
-    sizes = ladder(options.gateways or GATEWAYS, steps=3, factor=3.0, least=2)
-    cases = [(gateways, trouble) for gateways in sizes for trouble in TROUBLES]
+    sizes = geometric_sizes(options.gateways or GATEWAYS, steps=3, factor=3.0, least=2)
+    cases = [(gateways, failure) for gateways in sizes for failure in FAILURES]
     rows = []
-    for done, (gateways, trouble) in enumerate(cases):
-        options.progress(f"{gateways} gateways, {trouble.__name__.replace('_', ' ')}", done / len(cases))
-        world = ColdStart(gateways, options.seed)
-        world.play(trouble)
+    for done, (gateways, failure) in enumerate(cases):
+        options.progress(f"{gateways} gateways, {failure.__name__.replace('_', ' ')}", done / len(cases))
+        world = SlowStartExperiment(gateways, options.seed)
+        world.run(failure)
         rows.append(
             {
                 "gateways": gateways,
-                "trouble": TROUBLES.index(trouble),
-                "sent_to_cold": len(world.cold_attempts()),
+                "trouble": FAILURES.index(failure),
+                "sent_to_cold": len(world.slow_start_attempts()),
                 "excess": round(world.excess(), 3),
                 "served": world.fleet.tally.served,
                 "refused": world.fleet.tally.refused,
--- a/emulator/scenarios/membership.py
+++ b/emulator/scenarios/membership.py
@@ -10,20 +10,20 @@
 from calicomast.policy import GatewayPolicy
 from emulator.deployment import GATEWAYS_AT_TARGET, SERVERS_AT_TARGET, Deployment
 from emulator.measure import cpu_seconds, executed_lines, memory_megabytes
-from emulator.scenarios.base import Options, Row, Scenario, ladder
+from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 
 CHANGES = 50  # of which the mean is taken
 
 
 def body(deployment: Deployment) -> bytes:
     """A whole list as discovery sends it."""
-    entries = [deployment.entry(n) for n in range(deployment.servers)]
+    entries = [deployment.discovery_entry(n) for n in range(deployment.servers)]
     return json.dumps({"version": 1, "full": True, "servers": entries}, separators=(",", ":")).encode()
 
 
 def change_body(deployment: Deployment, number: int, state: str) -> bytes:
     """One change as a watch tells it."""
-    told = {"version": 2, "full": False, "servers": [deployment.entry(number, state=state)]}
+    told = {"version": 2, "full": False, "servers": [deployment.discovery_entry(number, state=state)]}
     return json.dumps(told, separators=(",", ":")).encode()
 
 
@@ -49,7 +49,7 @@
     _, taking = cpu_seconds(lambda: taker.take(listing))
     step = max(1, deployment.servers // CHANGES)
     changed = [
-        (deployment.host(n, state),)
+        (deployment.server(n, state),)
         for state in ("leaving", "up")
         for n in range(0, deployment.servers, step)
     ]
@@ -85,7 +85,7 @@
 def run(options: Options) -> list[Row]:
     """Sizes up to the target's 51,000 servers."""
     gateways = options.gateways or GATEWAYS_AT_TARGET
-    sizes = ladder(options.servers or SERVERS_AT_TARGET, steps=5, factor=4.0)
+    sizes = geometric_sizes(options.servers or SERVERS_AT_TARGET, steps=5, factor=4.0)
     rows = []
     for done, servers in enumerate(sizes):
         options.progress(f"{servers} servers", done / len(sizes))
--- a/emulator/scenarios/partition.py
+++ b/emulator/scenarios/partition.py
@@ -4,9 +4,9 @@
 
 from calicomast import interface as api
 from emulator.counter_model import CounterModel
-from emulator.deployment import Deployment, PlanShape
+from emulator.deployment import Deployment, PlanQuota
 from emulator.hollow import Attempt, HollowFleet
-from emulator.scenarios.base import Options, Row, Scenario, ladder
+from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 from emulator.server_model import ServerModel
 from emulator.tenants import TenantPopulation
 from emulator.virtual_time import Simulation
@@ -15,13 +15,13 @@
 SECONDS = 240.0  # of silence at the largest size
 BEFORE = 20.0  # seconds in which the counter answers
 DEMAND = 2.0  # times the quota that each tenant asks
-PLAN = PlanShape("standard", 4.0, 8.0)
+PLAN = PlanQuota("standard", 4.0, 8.0)
 
 
 class QuotaBooks:
     """What each tenant may pass over all gateways: a store of `burst` units that fills at `rate`."""
 
-    def __init__(self, plan: PlanShape) -> None:
+    def __init__(self, plan: PlanQuota) -> None:
         self.plan = plan
         self.inside = self.beyond = 0.0
         self._stores: dict[str, tuple[float, float]] = {}
@@ -54,7 +54,7 @@
     fleet = HollowFleet(
         simulation, deployment.settings, gateways, servers, counter, seed, on_attempt=attempted
     )
-    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.hosts()))
+    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.all_servers()))
     population = TenantPopulation(tenants, gateways, SPREAD, 0.0, seed)
     rate, whole = DEMAND * PLAN.rate * tenants, BEFORE + seconds
 
@@ -88,7 +88,7 @@
     """Four lengths of the silence; every tenant asks twice its quota."""
     gateways, tenants = options.gateways or GATEWAYS, options.tenants or TENANTS
     rows = []
-    lengths = ladder(int(SECONDS), factor=2.0)
+    lengths = geometric_sizes(int(SECONDS), factor=2.0)
     for done, seconds in enumerate(lengths):
         options.progress(f"{seconds} s without the counter", done / len(lengths))
         rows.append(measure(float(seconds), gateways, tenants, options.seed))
--- a/emulator/scenarios/quota.py
+++ b/emulator/scenarios/quota.py
@@ -4,7 +4,7 @@
 
 from calicomast import interface as api
 from emulator.counter_model import CounterModel
-from emulator.deployment import Deployment, PlanShape
+from emulator.deployment import Deployment, PlanQuota
 from emulator.hollow import HollowFleet
 from emulator.scenarios.base import Options, Row, Scenario
 from emulator.server_model import ServerModel
@@ -22,12 +22,12 @@
     """One tenant by itself, before a counter that is never crowded."""
     burst = max(1.0, BURST_SECONDS * rate)
     seconds = max(LEAST_SECONDS, WINDOWS * burst / rate)
-    deployment = Deployment(gateways, SERVERS, 1, plans=(PlanShape("standard", rate, burst),))
+    deployment = Deployment(gateways, SERVERS, 1, plans=(PlanQuota("standard", rate, burst),))
     simulation = Simulation(start=1000.0)
     counter = CounterModel(simulation, 1e6, seed=seed)
     servers = {deployment.server_id(n): ServerModel() for n in range(SERVERS)}
     fleet = HollowFleet(simulation, deployment.settings, gateways, servers, counter, seed)
-    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.hosts()))
+    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.all_servers()))
     population = TenantPopulation(1, gateways, spread, 0.0, seed)
     arrivals = population.arrivals(max(1, int(rate * USED * seconds)), rate * USED)
     for number, (at, (tenant, index)) in enumerate(
--- a/emulator/scenarios/real.py
+++ b/emulator/scenarios/real.py
@@ -7,12 +7,18 @@
 
 import uvloop
 
-from emulator.deployment import GATEWAYS_AT_TARGET, SERVERS_AT_TARGET, Deployment, PlanShape
+from emulator.deployment import GATEWAYS_AT_TARGET, SERVERS_AT_TARGET, Deployment, PlanQuota
 from emulator.real.load import PERCENTILES, Latencies, ask_steadily
-from emulator.real.processes import GatewayProcess, ProcessError, StandInProcess, gateway, stand_ins
-from emulator.scenarios.base import Options, Row, Scenario, ladder
+from emulator.real.processes import (
+    GatewayProcess,
+    ProcessError,
+    StandInProcess,
+    running_gateway,
+    running_stand_ins,
+)
+from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 
-PLAN = PlanShape("standard", rate=1000.0, burst=4000.0)  # no request is refused for its quota
+PLAN = PlanQuota("standard", rate=1000.0, burst=4000.0)  # no request is refused for its quota
 RATE, SECONDS, CONNECTIONS = 200.0, 10.0, 16  # requests a second; of each measurement; clients' connections
 CHANGES, CHANGE_EVERY = 200, 0.02  # changes told and the seconds between them
 IDLE_SECONDS = 5.0
@@ -30,9 +36,9 @@
 
 async def with_gateway(shape: Deployment, known: int, measure: Measure) -> Row:
     """Starts stand-ins and one gateway, and gives what is measured while they run."""
-    async with stand_ins() as others:
+    async with running_stand_ins() as others:
         await others.command("list", gateways=shape.gateways, servers=shape.servers)
-        async with gateway(shape, others.ports, known) as started:
+        async with running_gateway(shape, others.ports, known) as started:
             return await measure(started, others)
 
 
@@ -74,7 +80,7 @@
 
 async def membership_rows(options: Options) -> list[Row]:
     """A gateway that knows no servers, before lists of several sizes."""
-    sizes = ladder(options.servers or SERVERS_AT_TARGET, steps=4, factor=4.7)
+    sizes = geometric_sizes(options.servers or SERVERS_AT_TARGET, steps=4, factor=4.7)
     return await rows_by_servers(options, sizes, list_cost, known=False)
 
 
@@ -117,7 +123,7 @@
 async def connection_rows(options: Options) -> list[Row]:
     """Memory of idle clients' connections."""
     rows: list[Row] = []
-    sizes = ladder(1000, steps=4, factor=3.0)
+    sizes = geometric_sizes(1000, steps=4, factor=3.0)
 
     async def measure(started: GatewayProcess, others: StandInProcess) -> Row:
         before, writers = started.usage(), []
@@ -138,7 +144,7 @@
 
 async def reload_rows(options: Options) -> list[Row]:
     """SIGHUP with a configuration that holds lists of several sizes: CPU, and lists asked of discovery."""
-    sizes = ladder(options.servers or SERVERS_AT_TARGET, steps=4, factor=4.7)
+    sizes = geometric_sizes(options.servers or SERVERS_AT_TARGET, steps=4, factor=4.7)
     hangups = 5
 
     async def measure(started: GatewayProcess, others: StandInProcess) -> Row:
--- a/emulator/scenarios/steady.py
+++ b/emulator/scenarios/steady.py
@@ -9,7 +9,7 @@
 from emulator.counter_model import CounterModel
 from emulator.deployment import Deployment
 from emulator.hollow import FleetTally, HollowFleet
-from emulator.scenarios.base import Options, Row, Scenario, ladder
+from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 from emulator.server_model import ServerModel
 from emulator.tenants import TenantPopulation
 from emulator.virtual_time import Simulation
@@ -26,7 +26,7 @@
     counter = CounterModel(simulation, COUNTER_CALLS_PER_GATEWAY * deployment.gateways, seed=seed)
     servers = {deployment.server_id(n): ServerModel() for n in range(deployment.servers)}
     fleet = HollowFleet(simulation, deployment.settings, deployment.gateways, servers, counter, seed)
-    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.hosts()))
+    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.all_servers()))
     population = TenantPopulation(deployment.tenants, deployment.gateways, SPREAD, SKEW, seed)
     rate = REQUESTS_PER_SERVER * deployment.servers
     arrivals = population.arrivals(int(rate * seconds), rate)
@@ -65,7 +65,7 @@
 def run(options: Options) -> list[Row]:
     """Four sizes of the fleet, each with the same load a server."""
     rows = []
-    sizes = ladder(options.gateways or GATEWAYS, factor=2.0, least=2)
+    sizes = geometric_sizes(options.gateways or GATEWAYS, factor=2.0, least=2)
     for done, gateways in enumerate(sizes):
         options.progress(f"{gateways} gateways", done / len(sizes))
         part = gateways / sizes[-1]
--- a/emulator/scenarios/storm.py
+++ b/emulator/scenarios/storm.py
@@ -11,7 +11,7 @@
 from calicomast.net.server_list import ServerList
 from emulator.deployment import Deployment
 from emulator.discovery_model import DiscoveryModel
-from emulator.scenarios.base import Options, Row, Scenario, ladder
+from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 from emulator.virtual_loop import VirtualLoop
 
 GATEWAYS, SERVERS = 200, 1000
@@ -48,7 +48,9 @@
 async def play(deployment: Deployment, held: bool, outage: bool, generator: random.Random) -> Row:
     """One size; `held`: each gateway has a list of a version that it asks for changes to."""
     loop = asyncio.get_running_loop()
-    service = DiscoveryModel([deployment.entry(n) for n in range(deployment.servers)], ENTRIES_PER_SECOND)
+    service = DiscoveryModel(
+        [deployment.discovery_entry(n) for n in range(deployment.servers)], ENTRIES_PER_SECOND
+    )
     clients = [EmulatedDiscovery(service, 1 if held else 0) for _ in range(deployment.gateways)]
     for client in clients:
         loop.call_later(generator.random() * STARTS_WITHIN, client.start)
@@ -57,7 +59,7 @@
         loop.call_later(OUTAGE[1], setattr, service, "down", False)
     for number in range(CHANGES):
         at = OUTAGE[1] + number * (SECONDS / 2 - OUTAGE[1]) / CHANGES
-        loop.call_later(at, service.change, deployment.entry(number, state="draining"))
+        loop.call_later(at, service.change, deployment.discovery_entry(number, state="draining"))
     await asyncio.sleep(SECONDS)
     behind = sum(client.version < service.version for client in clients)
     heard = [client.heard_after for client in clients if client.heard_after is not None]
@@ -93,7 +95,7 @@
 
 def run(options: Options) -> list[Row]:
     """Three sizes, each with and without a list that is held and an outage of discovery."""
-    sizes = ladder(options.gateways or GATEWAYS, steps=3, factor=2.0)
+    sizes = geometric_sizes(options.gateways or GATEWAYS, steps=3, factor=2.0)
     cases = [(held, outage, n) for held in (True, False) for outage in (False, True) for n in sizes]
     rows = []
     for done, (held, outage, gateways) in enumerate(cases):
--- a/emulator/scenarios/subsets.py
+++ b/emulator/scenarios/subsets.py
@@ -7,7 +7,7 @@
 from calicomast import interface as api
 from calicomast.policy import GatewayPolicy
 from emulator.deployment import GATEWAYS_AT_TARGET, SERVERS_AT_TARGET, Deployment
-from emulator.scenarios.base import Options, Row, Scenario, ladder
+from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 
 GATEWAYS = 330  # with as many servers to each as at the target
 REPLACED = 0.01  # part of the servers that is replaced to see what moves
@@ -20,10 +20,10 @@
 
 def measure(deployment: Deployment, seed: int) -> Row:
     """Subsets of all gateways of one size, before and after a part of the servers is replaced."""
-    hosts = deployment.hosts()
+    hosts = deployment.all_servers()
     step = round(1 / REPLACED)
-    gone = tuple(deployment.host(n, "down") for n in range(0, deployment.servers, step))
-    new = tuple(deployment.host(deployment.servers + n) for n in range(len(gone)))
+    gone = tuple(deployment.server(n, "down") for n in range(0, deployment.servers, step))
+    new = tuple(deployment.server(deployment.servers + n) for n in range(len(gone)))
     covered: Counter[str] = Counter({host.id: 0 for host in hosts})
     sizes, moved, kept_names = [], 0, 0
     for index in range(deployment.gateways):
@@ -53,7 +53,7 @@
     """Three sizes at the target's ratio of servers to gateways."""
     largest = options.gateways or GATEWAYS
     ratio = (options.servers or SERVERS_AT_TARGET * largest / GATEWAYS_AT_TARGET) / largest
-    sizes = ladder(largest, steps=3, factor=2.0, least=2)
+    sizes = geometric_sizes(largest, steps=3, factor=2.0, least=2)
     rows = []
     for done, gateways in enumerate(sizes):
         options.progress(f"{gateways} gateways", done / len(sizes))
--- a/emulator/soak/fleet.py
+++ b/emulator/soak/fleet.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from emulator.real.faults import Faults
-from emulator.real.processes import READY_WITHIN, ProcessError, answers_ping, run_command, usage
+from emulator.real.processes import READY_TIMEOUT, ProcessError, answers_ping, gateway_command, process_usage
 from emulator.results import ROOT
 from emulator.soak.record import Life, Record
 from emulator.soak.shape import LONGEST, SOCKETS, settings_tree
@@ -63,7 +63,7 @@
         self.faults = Faults(shim, self.folder / "faults")
         self.reserved = reserve_port()
         self.port = self.reserved.getsockname()[1]
-        self.command = run_command() if broken is None else [sys.executable, "-m", SABOTAGE, broken]
+        self.command = gateway_command() if broken is None else [sys.executable, "-m", SABOTAGE, broken]
         self.lives = 0
         self.address = 0  # which of the two addresses of discovery and counter it is told
         self.process: asyncio.subprocess.Process | None = None
@@ -104,7 +104,7 @@
                 *self.command, cwd=ROOT, env=environment, stdout=log, stderr=log
             )
         process, life = self.process, self.life
-        while time.monotonic() - life.started_at < READY_WITHIN and process.returncode is None:
+        while time.monotonic() - life.started_at < READY_TIMEOUT and process.returncode is None:
             if await answers_ping(self.port, PING_WITHIN):
                 life.ready_at = time.monotonic()
                 self.ready = True
@@ -166,5 +166,5 @@
                 self.note_end(life, process)
             return
         with contextlib.suppress(ProcessError, OSError):
-            life.resident_kb.append((time.monotonic(), usage(process.pid).resident))
+            life.resident_kb.append((time.monotonic(), process_usage(process.pid).resident))
             life.descriptors.append(len(os.listdir(f"/proc/{process.pid}/fd")))
--- a/emulator/soak/judges.py
+++ b/emulator/soak/judges.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from emulator.real.processes import READY_WITHIN
+from emulator.real.processes import READY_TIMEOUT
 from emulator.soak.clients import BAD_WITHIN, LATE_ANSWER, served_rightly
 from emulator.soak.record import Asked, Effect, Ending, Life, Record
 from emulator.soak.shape import (
@@ -273,7 +273,7 @@
         ends = [at for at in (life.told_at, life.killed_at, life.ended_at) if at is not None]
         until = min(ends, default=record.ended)
         alone = life.told_at is None and life.killed_at is None
-        if life.ready_at is None and (alone or until - life.started_at >= READY_WITHIN):
+        if life.ready_at is None and (alone or until - life.started_at >= READY_TIMEOUT):
             yield Violation("processes_live", life.started_at, f"{told}: never ready, code {life.code}")
         elif life.ended_at is not None and life.told_at is None and life.killed_at is None:
             yield Violation("processes_live", life.ended_at, f"{told}: ended by itself with {life.code}")
--- a/emulator/soak/shape.py
+++ b/emulator/soak/shape.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from emulator.deployment import MILLISECOND_NS, SECOND_NS, Deployment, PlanShape
+from emulator.deployment import MILLISECOND_NS, SECOND_NS, Deployment, PlanQuota
 from emulator.soak.record import Effect
 
 SPREAD = 3  # gateways that a customer's requests come through
 SLOTS = 2  # requests that a server works on at once
 WORK = 0.03  # seconds of a request, in the mean
-PLAN = PlanShape("standard", rate=6.0, burst=12.0)
+PLAN = PlanQuota("standard", rate=6.0, burst=12.0)
 GRACE = 1.0  # seconds in which sends to a drained server must stop
 TOLD_AT_LATEST = 6.0  # seconds after which what discovery has counts as told, whatever became of calls
 COLD_TIME, COLD_SHARE = (
@@ -47,7 +47,7 @@
 def settings_tree(gateways: int, index: int) -> dict[str, Any]:
     """The settings of one gateway as nested JSON."""
     deployment = Deployment(
-        gateways, 16, zones=2, plans=(PLAN,), cold_time=COLD_TIME, extra_limits={"max_open": 500}
+        gateways, 16, zones=2, plans=(PLAN,), slow_start_duration=COLD_TIME, extra_limits={"max_open": 500}
     )
     tree = deployment.settings_tree(index)
     tree["limits"]["connect_timeout"] = int(CONNECT_TIMEOUT * SECOND_NS)
--- a/emulator/soak/standins.py
+++ b/emulator/soak/standins.py
@@ -14,7 +14,7 @@
 
 import hiredis
 
-from emulator.real.standins import CounterProtocol, DiscoveryProtocol, StandInTally, http_answer
+from emulator.real.standins import CounterProtocol, DiscoveryProtocol, StandInTally, http_response
 from emulator.soak.link import Fault, Link
 from emulator.soak.record import Began, Record, Started, Told
 from emulator.soak.shape import SLOTS, TOLD_AT_LATEST, WORK
@@ -248,7 +248,7 @@
         """Answers one call."""
         assert self.transport is not None
         body, servers = await self.agent.service.answer(dict(parse_qsl(urlsplit(target).query)))
-        self.transport.write(http_answer(body))
+        self.transport.write(http_response(body))
         self.agent.wrote(servers)
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,7 +18,7 @@
 from emulator.measure import executed_lines
 from emulator.runner import run_scenario
 from emulator.scenarios import SCENARIOS, cold_start, partition, quota, steady, storm, subsets
-from emulator.scenarios.base import Options, ladder
+from emulator.scenarios.base import Options, geometric_sizes
 from emulator.server_model import ServerModel
 from emulator.tenants import TenantPopulation
 from emulator.virtual_loop import VirtualLoop
@@ -79,9 +79,9 @@
     """What discovery sends to one that holds a version, after so many changes."""
 
     async def ask():
-        model = DiscoveryModel([Deployment(1, 5).entry(n) for n in range(5)], 1e6, history=3)
+        model = DiscoveryModel([Deployment(1, 5).discovery_entry(n) for n in range(5)], 1e6, history=3)
         for number in range(made):
-            model.change(Deployment(1, 5).entry(number, state="draining"))
+            model.change(Deployment(1, 5).discovery_entry(number, state="draining"))
         return json.loads(await model.get(f"/v1/endpoints?index={held}&wait=1"))
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
@@ -90,7 +90,7 @@
 
 def test_discovery_tells_changes_to_who_is_near_and_whole_lists_to_the_rest():
     assert [e["state"] for e in whole_and_changes(1, 2)["servers"]] == ["draining"] * 2
-    assert whole_and_changes(2, 2)["servers"][0]["id"] == Deployment(1, 5).entry(1)["id"]
+    assert whole_and_changes(2, 2)["servers"][0]["id"] == Deployment(1, 5).discovery_entry(1)["id"]
     assert whole_and_changes(1, 5)["full"] and whole_and_changes(0, 0)["full"]
     assert whole_and_changes(1, 0)["servers"] == []  # the watch's time was up
 
@@ -109,7 +109,7 @@
         1,
         on_end=lambda name, how: ends.update({name: how}),
     )
-    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.hosts()))
+    fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.all_servers()))
 
     def ask(name):
         fleet.request(0, api.Request(name, 1.5, "c", "standard", "fetch", 1.0, 0, 2))
@@ -183,7 +183,7 @@
 
 def test_a_cold_server_is_used_in_every_trouble():
     rows = cold_start.run(Options(gateways=6))
-    assert len(rows) == len(ladder(6, 3, 3.0, 2)) * len(cold_start.TROUBLES)
+    assert len(rows) == len(geometric_sizes(6, 3, 3.0, 2)) * len(cold_start.FAILURES)
     assert all(row["sent_to_cold"] for row in rows)
 
 
--- a/tests/test_emulator_real.py
+++ b/tests/test_emulator_real.py
@@ -11,13 +11,13 @@
 import pytest
 from netkit import on_loop
 
-from emulator.deployment import Deployment, PlanShape
+from emulator.deployment import Deployment, PlanQuota
 from emulator.real import processes
 from emulator.real.load import ask_steadily
-from emulator.real.processes import ProcessError, gateway, stand_ins, usage
+from emulator.real.processes import ProcessError, process_usage, running_gateway, running_stand_ins
 
 ROOT = Path(__file__).resolve().parent.parent
-AMPLE = PlanShape("standard", rate=20.0, burst=20.0)  # a tenant asks 10 units here: all pass, some by a lease
+AMPLE = PlanQuota("standard", rate=20.0, burst=20.0)  # a tenant asks 10 units here: all pass, some by a lease
 
 
 def children(pid):
@@ -29,18 +29,18 @@
 @on_loop
 async def test_requests_go_through_a_real_gateway_and_are_counted_at_the_stand_ins():
     shape = Deployment(gateways=4, servers=20, plans=(AMPLE,))
-    async with stand_ins() as others:
+    async with running_stand_ins() as others:
         assert (await others.command("list", gateways=4, servers=20))["bytes"] > 1000
-        async with gateway(shape, others.ports) as started:
+        async with running_gateway(shape, others.ports) as started:
             latencies = await ask_steadily(started.port, 100.0, 0.5, 4, "standard", tenants=5)
             tally = await others.command("tally")
             pid = started.process.pid
-            assert usage(pid).peak >= usage(pid).resident > 0
+            assert process_usage(pid).peak >= process_usage(pid).resident > 0
         with pytest.raises(ProcessError):
-            usage(pid)
+            process_usage(pid)
         other = others.process.pid
     with pytest.raises(ProcessError):
-        usage(other)
+        process_usage(other)
     assert latencies.not_served == 0 and latencies.histogram.get_total_count() == 50
     assert tally["commands"] >= 50 and tally["counter_calls"] > 0
     assert tally["whole_lists"] == 1 and tally["discovery_bytes"] > 1000
@@ -49,9 +49,9 @@
 @on_loop
 async def test_a_change_reaches_the_gateway_as_a_change():
     shape = Deployment(gateways=4, servers=20)
-    async with stand_ins() as others:
+    async with running_stand_ins() as others:
         await others.command("list", gateways=4, servers=20)
-        async with gateway(shape, others.ports):
+        async with running_gateway(shape, others.ports):
             before = await others.command("tally")
             assert (await others.command("changes", count=3, first=0, every=0.05))["version"] == 4
             await asyncio.sleep(0.2)
@@ -62,10 +62,10 @@
 
 @on_loop
 async def test_a_gateway_that_does_not_start_is_an_error(monkeypatch):
-    monkeypatch.setattr(processes, "run_command", lambda: [sys.executable, "-c", "raise SystemExit(3)"])
-    async with stand_ins() as others:
+    monkeypatch.setattr(processes, "gateway_command", lambda: [sys.executable, "-c", "raise SystemExit(3)"])
+    async with running_stand_ins() as others:
         with pytest.raises(ProcessError, match="ended with 3"):
-            async with gateway(Deployment(4, 20), others.ports):
+            async with running_gateway(Deployment(4, 20), others.ports):
                 pass
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -108,10 +108,10 @@
 def change_lines(servers, gateways=3300):
     """Lines of Python that one change takes in the mean over many servers."""
     deployment = Deployment(gateways, servers)
-    w = GatewayHarness(deployment.settings(0), deployment.hosts())
+    w = GatewayHarness(deployment.settings(0), deployment.all_servers())
     step = max(1, servers // 60)
     numbers = range(0, servers, step)
-    changes = [(deployment.host(n, state),) for state in ("leaving", "up") for n in numbers]
+    changes = [(deployment.server(n, state),) for state in ("leaving", "up") for n in numbers]
     told = [api.ServerListUpdate("delta", 2, hosts) for hosts in changes]
     return executed_lines(lambda: [w.gateway.handle(w.now, change) for change in told]) / len(told)
 
