--- a/emulator/counter_model.py
+++ b/emulator/counter_model.py
@@ -1,4 +1,4 @@
-"""The counter service: named totals on a few parts, each of which serves calls in turn."""
+"""Model of the counter service: named totals on a few shards, each of which serves its calls in order."""
 
 from __future__ import annotations
 
@@ -8,84 +8,94 @@
 
 from emulator.virtual_time import Simulation
 
-Answer = Callable[[str, float, float], None]  # result (interface.COUNTER_RESULTS), total, elapsed seconds
+# Called with the result (of interface.COUNTER_RESULTS), the total and the elapsed seconds.
+CounterCallback = Callable[[str, float, float], None]
 
 
 @dataclass(slots=True)
 class CounterTally:
-    """Calls by what became of them."""
+    """Number of calls by result."""
 
     calls: int = 0
     answered: int = 0
-    turned_away: int = 0
-    unanswered: int = 0
+    rejected: int = 0
+    timed_out: int = 0
 
 
 @dataclass(slots=True)
-class _Part:
+class _Shard:
+    """Totals of one shard, and the virtual time in seconds at which its queue is empty."""
+
     free_at: float = 0.0
     totals: dict[int, float] = field(default_factory=dict)
 
 
 class CounterModel:
-    """Emulates the counter in virtual time.
+    """Emulates the counter service in virtual time.
 
     Args:
-        simulation: the clock.
-        calls_per_second: what all parts together serve.
-        parts: names are spread over so many.
-        round_trip: seconds on the way there and back.
-        timeout: seconds after which a caller gives up; the call is worked on all the same.
-        longest_line: seconds of waiting past which a part turns calls away at once.
-        seed: of the random number generator that spreads the way's time.
+        simulation: virtual clock and scheduler.
+        calls_per_second: capacity of all shards together.
+        shards: number of shards over which the names are distributed.
+        round_trip: mean network round-trip time in seconds; each call varies by up to 20 % either way.
+        timeout: seconds after which a caller abandons a call; a call that arrived is executed all the same.
+        max_queue_time: queueing delay in seconds above which a shard rejects calls at once.
+        seed: seed of the generator that draws the round-trip times.
+
+    Attributes:
+        unreachable: if set, every call times out and no total changes.
     """
 
     def __init__(
         self,
         simulation: Simulation,
         calls_per_second: float,
-        parts: int = 2,
+        shards: int = 2,
         round_trip: float = 0.002,
         timeout: float = 0.05,
-        longest_line: float = 0.1,
+        max_queue_time: float = 0.1,
         seed: int = 0,
     ) -> None:
         self.simulation = simulation
-        self.service_time = parts / calls_per_second
-        self.round_trip, self.timeout, self.longest_line = round_trip, timeout, longest_line
-        self.silent = False
+        self.service_time = shards / calls_per_second
+        self.round_trip, self.timeout, self.max_queue_time = round_trip, timeout, max_queue_time
+        self.unreachable = False
         self.tally = CounterTally()
-        self._parts = [_Part() for _ in range(parts)]
+        self._shards = [_Shard() for _ in range(shards)]
         self._random = random.Random(seed)
 
-    def add(self, name: int, amount: float, answer: Answer) -> None:
-        """One call. `answer` is called once: with the result, the total and the elapsed seconds."""
+    def add(self, name: int, amount: float, callback: CounterCallback) -> None:
+        """Adds an amount to a named total.
+
+        `callback` is called once, with the result, the total and the elapsed seconds. After a timeout the
+        total may have changed all the same.
+        """
         self.tally.calls += 1
         now = self.simulation.now
-        if self.silent:
-            self._give_up(answer)
+        if self.unreachable:
+            self._time_out(callback)
             return
-        part = self._parts[name % len(self._parts)]
-        wait = max(0.0, part.free_at - now)
-        way = self.round_trip * self._random.uniform(0.8, 1.2)
-        if wait > self.longest_line:
-            self.tally.turned_away += 1
-            self.simulation.after(way, answer, "full", 0.0, way)
+        shard = self._shards[name % len(self._shards)]
+        wait = max(0.0, shard.free_at - now)
+        network_time = self.round_trip * self._random.uniform(0.8, 1.2)
+        if wait > self.max_queue_time:
+            self.tally.rejected += 1
+            self.simulation.after(network_time, callback, "full", 0.0, network_time)
             return
-        part.free_at = now + wait + self.service_time
-        total = part.totals[name] = part.totals.get(name, 0.0) + amount
-        elapsed = wait + self.service_time + way
+        shard.free_at = now + wait + self.service_time
+        total = shard.totals[name] = shard.totals.get(name, 0.0) + amount
+        elapsed = wait + self.service_time + network_time
         if elapsed > self.timeout:
-            self._give_up(answer)
+            self._time_out(callback)
             return
         self.tally.answered += 1
-        self.simulation.after(elapsed, answer, "ok", total, elapsed)
+        self.simulation.after(elapsed, callback, "ok", total, elapsed)
 
-    def lose_counts(self) -> None:
-        """Forgets all totals, as a service does that comes back empty."""
-        for part in self._parts:
-            part.totals.clear()
+    def reset_totals(self) -> None:
+        """Drops all totals, as a service does that restarts without its data."""
+        for shard in self._shards:
+            shard.totals.clear()
 
-    def _give_up(self, answer: Answer) -> None:
-        self.tally.unanswered += 1
-        self.simulation.after(self.timeout, answer, "timeout", 0.0, self.timeout)
+    def _time_out(self, callback: CounterCallback) -> None:
+        self.tally.timed_out += 1
+        self.simulation.after(self.timeout, callback, "timeout", 0.0, self.timeout)
--- a/emulator/deployment.py
+++ b/emulator/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that is emulated: sizes, classes and plans, in the form that real gateways read."""
+"""The emulated deployment: its sizes, classes and plans, in the form that real gateways read."""
 
 from __future__ import annotations
 
@@ -10,13 +10,17 @@
 
 SECOND_NS = 1_000_000_000
 MILLISECOND_NS = 1_000_000
-GATEWAYS_AT_TARGET, SERVERS_AT_TARGET, TENANTS_AT_TARGET = 3300, 51_000, 280_000
-ZONES_AT_TARGET, REGIONS_AT_TARGET = 16, 8
+# Sizes of the deployment that the gateway is designed for.
+GATEWAYS_AT_TARGET = 3300
+SERVERS_AT_TARGET = 51_000
+TENANTS_AT_TARGET = 280_000
+ZONES_AT_TARGET = 16
+REGIONS_AT_TARGET = 8
 
 
 @dataclass(frozen=True, slots=True)
 class PlanQuota:
-    """A plan's quota: `rate` in units a second, `burst` in units."""
+    """The quota of a plan: `rate` in units per second, `burst` in units."""
 
     name: str = "standard"
     rate: float = 4.0
@@ -25,13 +29,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Sizes and figures of one emulated deployment.
+    """Sizes and settings of one emulated deployment.
 
     Attributes:
+        gateways: number of gateways, spread evenly over the zones.
+        servers: number of servers, spread evenly over the zones.
+        tenants: number of tenants.
+        zones: number of zones.
+        plans: quotas of the plans.
         latency_target: seconds within which a request should be answered.
         deadline: seconds after which the client gives up.
         slow_start_duration: seconds for which a started server is in slow start.
+        counter: whether gateways lease quota from the counter.
         counter_timeout: seconds after which a gateway abandons a call to the counter.
+        extra_limits: entries that replace or extend the `limits` of the settings.
     """
 
     gateways: int
@@ -47,11 +58,14 @@
     extra_limits: dict[str, Any] = field(default_factory=dict)
 
     def zone(self, index: int) -> str:
-        """The zone of the gateway or server with this number."""
+        """Returns the zone of the gateway or server with this number."""
         return f"zone-{index % self.zones}"
 
     def settings_tree(self, index: int) -> dict[str, Any]:
-        """The settings of one gateway as nested JSON, times in nanoseconds, as configurations hold them."""
+        """Returns the settings of one gateway as a JSON tree, as in a configuration file.
+
+        Times are in nanoseconds.
+        """
         limits = {
             "cancel": True,
             "second_copies": True,
@@ -81,7 +95,8 @@
             "gain": 1.0,
         }
         plans = [
-            {"name": p.name, "rate": p.rate, "most_at_once": p.burst, "over_cost": 1.0} for p in self.plans
+            {"name": plan.name, "rate": plan.rate, "most_at_once": plan.burst, "over_cost": 1.0}
+            for plan in self.plans
         ]
         return {
             "index": index,
@@ -104,27 +119,30 @@
         }
 
     def settings(self, index: int) -> api.Settings:
-        """The settings of one gateway as the decision module takes them."""
+        """Returns the settings of one gateway as `GatewayPolicy` takes them."""
         return read_settings(self.settings_tree(index))
 
     def server_id(self, number: int) -> str:
-        """The id of a server; ids look as discovery's do."""
+        """Returns the id of a server, in the format of the ids of discovery."""
         return f"s-{(number * 2654435761) % 2**32:08x}"
 
-    def server(self, number: int, state: str = "up", started: float = 0.0) -> api.Server:
-        """A server as the decision module is told of it; `started` is a clock time in seconds, 0 long ago."""
+    def server(self, number: int, state: str = "up", started_at: float = 0.0) -> api.Server:
+        """Returns a server as `GatewayPolicy` receives it in a server list.
+
+        `started_at` is the clock time of its last start in seconds; 0 means long ago.
+        """
         return api.Server(
-            self.server_id(number), self.zone(number), number // 8, 1.0, "small", state, started
+            self.server_id(number), self.zone(number), number // 8, 1.0, "small", state, started_at
         )
 
     def all_servers(self) -> tuple[api.Server, ...]:
-        """All servers, up and warm."""
+        """Returns all servers, in state "up" and past their slow start."""
         return tuple(self.server(number) for number in range(self.servers))
 
     def discovery_entry(
         self, number: int, address: str = "10.0.0.1:6379", state: str = "up"
     ) -> dict[str, Any]:
-        """A server in discovery's JSON form."""
+        """Returns a server in the JSON form of discovery."""
         return {
             "id": self.server_id(number),
             "addr": address,
--- a/emulator/discovery_model.py
+++ b/emulator/discovery_model.py
@@ -1,4 +1,4 @@
-"""Discovery: one service of fixed capacity that holds a versioned list for all gateways."""
+"""Model of discovery: one service of limited capacity that keeps a versioned server list for all gateways."""
 
 from __future__ import annotations
 
@@ -10,75 +10,84 @@
 
 from calicomast.net.http import StatusError
 
-OVERLOADED = 503
-LONGEST_WATCH = 60.0  # seconds
+SERVICE_UNAVAILABLE = 503  # HTTP status of a refused call
+MAX_WATCH_TIME = 60.0  # seconds for which a call waits for a change at most
 
 
 @dataclass(slots=True)
 class DiscoveryTally:
-    """What was asked of discovery and what it sent."""
+    """Counters of the calls to discovery and of the data that it sent."""
 
     calls: int = 0
     whole_lists: int = 0
-    changes: int = 0  # answers that hold changes only, none among them
+    changes: int = 0  # responses with changes only, empty ones included
     refused: int = 0
     entries: int = 0
     bytes: int = 0
 
 
 class DiscoveryModel:
-    """Emulates discovery on the running loop's clock. Entries that are sent are work; calls wait in turn.
+    """Emulates discovery on the clock of the running event loop.
+
+    Calls are served in order of arrival; a call costs as much as the entries that it sends, plus one.
 
     Args:
-        entries: the list at version 1, in discovery's JSON form.
-        entries_per_second: the work that it does; each call counts as one entry more.
-        longest_wait: seconds of waiting past which a call is refused with status 503.
-        history: changes that are kept; who is further behind gets the whole list.
+        entries: the server list at version 1, in the JSON form of discovery.
+        entries_per_second: capacity of the service.
+        max_queue_time: queueing delay in seconds above which a call is refused with status 503.
+        max_history: number of changes that are kept; a client that is further behind gets the full list.
+
+    Attributes:
+        down: if set, calls get no response.
     """
 
     def __init__(
         self,
         entries: list[dict[str, Any]],
         entries_per_second: float,
-        longest_wait: float = 1.0,
-        history: int = 10_000,
+        max_queue_time: float = 1.0,
+        max_history: int = 10_000,
     ) -> None:
         self.entries = {entry["id"]: entry for entry in entries}
         self.version, self.tally = 1, DiscoveryTally()
-        self.entries_per_second, self.longest_wait, self.history = entries_per_second, longest_wait, history
+        self.entries_per_second = entries_per_second
+        self.max_queue_time = max_queue_time
+        self.max_history = max_history
         self.down = False
-        self._log: list[dict[str, Any]] = []  # the change that made version 2, 3 and so on
+        self._history: list[dict[str, Any]] = []  # changes that led to versions 2, 3 and so on
         self._free_at = 0.0
-        self._news = asyncio.Event()
-        self._whole: tuple[int, bytes] | None = None
+        self._version_changed = asyncio.Event()
+        self._full_body_cache: tuple[int, bytes] | None = None
 
     def change(self, entry: dict[str, Any]) -> None:
-        """Makes one change, which is a version of its own."""
+        """Adds, replaces or removes one entry, which creates a new version of the list."""
         if entry["state"] == "removed":
             self.entries.pop(entry["id"], None)
         else:
             self.entries[entry["id"]] = entry
         self.version += 1
-        self._log.append(entry)
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+        self._history.append(entry)
+        version_changed, self._version_changed = self._version_changed, asyncio.Event()
+        version_changed.set()
 
     async def get(self, target: str) -> bytes:
-        """The body that answers a GET; raises StatusError where the call is refused."""
+        """Returns the body of the response to a GET; raises StatusError if the call is refused."""
         self.tally.calls += 1
         if self.down:
             await asyncio.Event().wait()
         query = dict(parse_qsl(urlsplit(target).query))
-        held, wait = int(query.get("index", 0)), int(query.get("wait", 0)) / 1000
-        if held == self.version and wait > 0:
-            await self._wait_for_news(min(wait, LONGEST_WATCH))
-        whole = held == 0 or self.version - held > min(self.history, len(self._log))
-        changed = {} if whole else {entry["id"]: entry for entry in self._log[held - 1 :]}
-        await self._take_turn(1 + (len(self.entries) if whole else len(changed)))
-        if whole:
+        client_version, wait = int(query.get("index", 0)), int(query.get("wait", 0)) / 1000
+        if client_version == self.version and wait > 0:
+            await self._wait_for_change(min(wait, MAX_WATCH_TIME))
+        full = client_version == 0 or self.version - client_version > min(
+            self.max_history, len(self._history)
+        )
+        changed = {} if full else {entry["id"]: entry for entry in self._history[client_version - 1 :]}
+        await self._process(1 + (len(self.entries) if full else len(changed)))
+        if full:
             self.tally.whole_lists += 1
             self.tally.entries += len(self.entries)
-            body = self._whole_body()
+            body = self._full_body()
         else:
             self.tally.changes += 1
             self.tally.entries += len(changed)
@@ -86,27 +95,27 @@
         self.tally.bytes += len(body)
         return body
 
-    async def _wait_for_news(self, seconds: float) -> None:
+    async def _wait_for_change(self, seconds: float) -> None:
         try:
             async with asyncio.timeout(seconds):
-                await self._news.wait()
+                await self._version_changed.wait()
         except TimeoutError:
             pass
 
-    async def _take_turn(self, work: int) -> None:
+    async def _process(self, cost: int) -> None:
         now = asyncio.get_running_loop().time()
         wait = max(0.0, self._free_at - now)
-        if wait > self.longest_wait:
+        if wait > self.max_queue_time:
             self.tally.refused += 1
-            raise StatusError(OVERLOADED)
-        self._free_at = now + wait + work / self.entries_per_second
+            raise StatusError(SERVICE_UNAVAILABLE)
+        self._free_at = now + wait + cost / self.entries_per_second
         await asyncio.sleep(self._free_at - now)
 
-    def _whole_body(self) -> bytes:
-        if self._whole is None or self._whole[0] != self.version:
-            self._whole = self.version, self._body(True, list(self.entries.values()))
-        return self._whole[1]
+    def _full_body(self) -> bytes:
+        if self._full_body_cache is None or self._full_body_cache[0] != self.version:
+            self._full_body_cache = self.version, self._body(True, list(self.entries.values()))
+        return self._full_body_cache[1]
 
     def _body(self, full: bool, servers: list[dict[str, Any]]) -> bytes:
-        told = {"version": self.version, "full": full, "servers": servers}
-        return json.dumps(told, separators=(",", ":")).encode()
+        message = {"version": self.version, "full": full, "servers": servers}
+        return json.dumps(message, separators=(",", ":")).encode()
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -1,4 +1,8 @@
-"""Hollow gateways: the decision module without sockets, many instances in one process."""
+"""Hollow gateways: instances of the gateway policy without network I/O, thousands in one process.
+
+A "hollow" gateway runs the decision code of a real gateway (`calicomast.policy.GatewayPolicy`). Its
+connections, the servers and the counter are replaced by models in virtual time.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +17,13 @@
 from emulator.server_model import ServerModel
 from emulator.virtual_time import Simulation
 
-CONNECT_TIMEOUT = 0.25  # seconds until an attempt at a server that is gone ends
-REFUSED_AFTER = 0.001  # seconds until a server's refusal is known
+CONNECT_TIMEOUT = 0.25  # seconds until an attempt at a server that no longer exists fails
+REJECTION_DELAY = 0.001  # seconds until the gateway receives a rejection from a server
 
 
 @dataclass(slots=True)
 class FleetTally:
-    """Counts over all gateways; the same for the same seed."""
+    """Counters summed over all gateways. They are reproducible: the same seed gives the same counts."""
 
     requests: int = 0
     served: int = 0
@@ -29,26 +33,34 @@
     cancelled: int = 0
     counter_calls: int = 0
     timers: int = 0
-    handshakes: int = 0  # first attempts of a gateway at a server
+    handshakes: int = 0  # (gateway, server) pairs with at least one attempt
 
     def as_counts(self) -> dict[str, int]:
-        """The counts by their names."""
+        """Returns the counters by field name."""
         return asdict(self)
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request between its arrival and its final answer."""
+    """A request that has arrived and has no final response yet."""
 
     gateway: int
     units: float
     attempts: int = 0
-    over: bool = False
+    finished: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt as it was sent: virtual time in seconds, request, server and the request's units."""
+    """One attempt to send a request to a server.
+
+    Attributes:
+        at: virtual time of sending, in seconds.
+        request: id of the request.
+        gateway: number of the gateway that sent it.
+        server: id of the server.
+        units: quota units of the request.
+    """
 
     at: float
     request: str
@@ -58,17 +70,17 @@
 
 
 class HollowFleet:
-    """Many decision modules before emulated servers and an emulated counter, in virtual time.
+    """A fleet of gateway policies that use emulated servers and an emulated counter in virtual time.
 
     Args:
-        simulation: the clock.
-        settings: gives the settings of the gateway with a number.
-        gateways: how many there are.
-        servers: the servers by id; one that is not among them cannot be connected to.
-        counter: None where the settings have no counter.
-        seed: of the seeds that the gateways are started with.
-        on_attempt: hears of each attempt.
-        on_end: hears of each request's end: its id and "served", "refused" or "failed".
+        simulation: virtual clock and scheduler.
+        settings: returns the settings of the gateway with the given number.
+        gateways: number of gateways.
+        servers: servers by id; a connection to any other id fails.
+        counter: None if the settings disable the counter.
+        seed: seed of the generator that draws the seeds of the gateways.
+        on_attempt: called for each attempt.
+        on_end: called at the end of each request with its id and "served", "refused" or "failed".
     """
 
     def __init__(
@@ -84,55 +96,59 @@
     ) -> None:
         self.simulation, self.settings, self.servers, self.counter = simulation, settings, servers, counter
         self.tally = FleetTally()
-        self.connected: defaultdict[str, set[int]] = defaultdict(set)  # server: gateways that sent there
+        # Numbers of the gateways that have sent to a server, by server id.
+        self.connected: defaultdict[str, set[int]] = defaultdict(set)
         self._random = random.Random(seed)
         self._on_attempt, self._on_end = on_attempt, on_end
         self._requests: dict[str, PendingRequest] = {}
-        self._lives = [0] * gateways  # starts of each gateway; what an earlier life waits for is dropped
+        # Restarts of each gateway; events for an earlier incarnation are dropped.
+        self._incarnations = [0] * gateways
         self.gateways = [self._new_gateway(index) for index in range(gateways)]
 
     def _new_gateway(self, index: int) -> GatewayPolicy:
         return GatewayPolicy(self.settings(index), self._random.randrange(2**32), self.simulation.now)
 
     def restart(self, index: int) -> None:
-        """Starts a gateway anew: it has no list, and all that it had in work is lost."""
-        self._lives[index] += 1
+        """Restarts a gateway: the new instance has no server list and all active requests are lost."""
+        self._incarnations[index] += 1
         self.gateways[index] = self._new_gateway(index)
 
     def deliver(self, index: int, event: api.Event) -> None:
-        """Hands an event to one gateway and carries its actions out."""
+        """Passes an event to one gateway and executes the actions that it returns."""
         for action in self.gateways[index].handle(self.simulation.now, event):
-            self._carry_out(index, action)
+            self._execute(index, action)
 
     def deliver_to_all(self, event: api.Event) -> None:
-        """Hands one event to every gateway."""
+        """Passes one event to every gateway."""
         for index in range(len(self.gateways)):
             self.deliver(index, event)
 
     def request(self, index: int, request: api.Request) -> None:
-        """A client's request arrives at a gateway."""
+        """Delivers a request of a client to a gateway."""
         self.tally.requests += 1
         self._requests[request.id] = PendingRequest(index, request.units)
         self.deliver(index, request)
 
-    def _deliver_in_life(self, index: int, life: int, event: api.Event) -> None:
-        if life == self._lives[index]:
+    def _deliver_to_incarnation(self, index: int, incarnation: int, event: api.Event) -> None:
+        if incarnation == self._incarnations[index]:
             self.deliver(index, event)
 
-    def _carry_out(self, index: int, action: api.Action) -> None:
+    def _execute(self, index: int, action: api.Action) -> None:
         match action:
             case api.Send():
                 self._send(index, action)
             case api.AddToCounter():
-                self._count(index, action)
+                self._add_to_counter(index, action)
             case api.SetTimer():
                 self.tally.timers += 1
                 timer = api.TimerExpired(action.label)
-                self.simulation.after(action.delay, self._deliver_in_life, index, self._lives[index], timer)
+                self.simulation.after(
+                    action.delay, self._deliver_to_incarnation, index, self._incarnations[index], timer
+                )
             case api.Refuse():
-                self._end(action.id, "refused")
+                self._end_request(action.id, "refused")
             case api.Fail():
-                self._end(action.id, "failed")
+                self._end_request(action.id, "failed")
             case api.Cancel():
                 self.tally.cancelled += 1
 
@@ -140,7 +156,7 @@
         pending = self._requests.get(action.id)
         if pending is None:
             return
-        number, pending.attempts = pending.attempts, pending.attempts + 1
+        attempt, pending.attempts = pending.attempts, pending.attempts + 1
         now = self.simulation.now
         self.tally.attempts += 1
         if index not in self.connected[action.server]:
@@ -150,45 +166,47 @@
             self._on_attempt(Attempt(now, action.id, index, action.server, pending.units))
         server = self.servers.get(action.server)
         if server is None:
-            self._answer_later(index, action, number, "connect_failed", now + CONNECT_TIMEOUT)
+            self._schedule_outcome(index, action, attempt, "connect_failed", now + CONNECT_TIMEOUT)
             return
-        answered_at = server.receive(now)
-        if answered_at is None:
-            self._answer_later(index, action, number, "full", now + REFUSED_AFTER)
+        completes_at = server.receive(now)
+        if completes_at is None:
+            self._schedule_outcome(index, action, attempt, "full", now + REJECTION_DELAY)
         else:
-            self._answer_later(index, action, number, "ok", answered_at)
+            self._schedule_outcome(index, action, attempt, "ok", completes_at)
 
-    def _answer_later(self, index: int, action: api.Send, number: int, result: str, at: float) -> None:
-        sent_at, life = self.simulation.now, self._lives[index]
-        self.simulation.at(at, self._answered, index, life, action, number, result, sent_at)
+    def _schedule_outcome(self, index: int, action: api.Send, attempt: int, result: str, at: float) -> None:
+        sent_at, incarnation = self.simulation.now, self._incarnations[index]
+        self.simulation.at(at, self._complete_attempt, index, incarnation, action, attempt, result, sent_at)
 
-    def _answered(
-        self, index: int, life: int, action: api.Send, number: int, result: str, sent_at: float
+    def _complete_attempt(
+        self, index: int, incarnation: int, action: api.Send, attempt: int, result: str, sent_at: float
     ) -> None:
-        if life != self._lives[index]:
+        if incarnation != self._incarnations[index]:
             self._requests.pop(action.id, None)
             return
-        over = action.id not in self._requests
+        finished = action.id not in self._requests
         if result == "ok":
-            self._end(action.id, "served")
+            self._end_request(action.id, "served")
         elapsed = self.simulation.now - sent_at
-        final = over or result == "ok"
-        self.deliver(index, api.Outcome(action.id, number, action.server, result, elapsed, final))
+        final = finished or result == "ok"
+        self.deliver(index, api.Outcome(action.id, attempt, action.server, result, elapsed, final))
 
-    def _count(self, index: int, action: api.AddToCounter) -> None:
+    def _add_to_counter(self, index: int, action: api.AddToCounter) -> None:
         self.tally.counter_calls += 1
         if self.counter is None:
             return
-        life = self._lives[index]
+        incarnation = self._incarnations[index]
 
-        def answered(result: str, total: float, elapsed: float) -> None:
-            self._deliver_in_life(index, life, api.CounterResult(action.name, result, total, elapsed))
+        def on_result(result: str, total: float, elapsed: float) -> None:
+            self._deliver_to_incarnation(
+                index, incarnation, api.CounterResult(action.name, result, total, elapsed)
+            )
 
-        self.counter.add(action.name, action.amount, answered)
+        self.counter.add(action.name, action.amount, on_result)
 
-    def _end(self, request: str, how: str) -> None:
+    def _end_request(self, request: str, outcome: str) -> None:
         if self._requests.pop(request, None) is None:
             return
-        setattr(self.tally, how, getattr(self.tally, how) + 1)
+        setattr(self.tally, outcome, getattr(self.tally, outcome) + 1)
         if self._on_end:
-            self._on_end(request, how)
+            self._on_end(request, outcome)
--- a/emulator/measure.py
+++ b/emulator/measure.py
@@ -1,4 +1,4 @@
-"""Measurements of a piece of Python: executed lines (fixed by the input), CPU time and memory."""
+"""Measurements of Python code: executed lines (which the input determines), CPU time and memory."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def executed_lines(function: Callable[[], object]) -> int:
-    """Lines of Python that a call executes, each turn of a loop or comprehension counted.
+    """Counts the lines of Python that a call executes, including each iteration of a loop or comprehension.
 
-    It measures work without a clock: the same input gives the same count on any machine.
+    The count measures work without a clock: the same input gives the same count on any machine.
     """
     count = 0
 
@@ -27,25 +27,27 @@
         count += event == "line"
         return trace
 
-    before = sys.gettrace()
+    previous = sys.gettrace()
     sys.settrace(trace)
     try:
         function()
     finally:
-        sys.settrace(before)
+        sys.settrace(previous)
     return count
 
 
 def cpu_seconds(function: Callable[[], T]) -> tuple[T, float]:
-    """What a call returns, and the seconds of processor time that it took."""
-    began = time.process_time()
+    """Calls a function; returns its result and the CPU time in seconds that it used."""
+    started_at = time.process_time()
     returned = function()
-    return returned, time.process_time() - began
+    return returned, time.process_time() - started_at
 
 
 def memory_megabytes(function: Callable[[], T]) -> tuple[T, float, float]:
-    """What a call returns, and by how many megabytes of Python objects the memory has grown at its end and at
-    its peak."""
+    """Calls a function; returns its result and the growth of Python's memory in megabytes.
+
+    The first number is the growth after the call, the second the growth at the peak during the call.
+    """
     gc.collect()
     tracemalloc.start()
     try:
--- a/emulator/scenarios/partition.py
+++ b/emulator/scenarios/partition.py
@@ -68,10 +68,10 @@
     for number, (at, (tenant, index)) in enumerate(
         zip(arrivals, population.draw(len(arrivals)), strict=True)
     ):
-        simulation.at(simulation.now + at, ask, f"r{number}", tenant.name, tenant.first, index)
+        simulation.at(simulation.now + at, ask, f"r{number}", tenant.name, tenant.first_gateway, index)
     simulation.run(simulation.now + BEFORE)
     beyond_before = books.beyond
-    counter.silent = True
+    counter.unreachable = True
     simulation.run(simulation.now + seconds)
     return {
         "seconds": seconds,
--- a/emulator/scenarios/quota.py
+++ b/emulator/scenarios/quota.py
@@ -34,7 +34,7 @@
         zip(arrivals, population.draw(len(arrivals)), strict=True)
     ):
         request = api.Request(
-            f"r{number}", 1.5, tenant.name, "standard", "fetch", 1.0, tenant.first, tenant.spread
+            f"r{number}", 1.5, tenant.name, "standard", "fetch", 1.0, tenant.first_gateway, tenant.spread
         )
         simulation.at(simulation.now + at, fleet.request, index, request)
     simulation.run(simulation.now + arrivals[-1] + 3.0)
--- a/emulator/scenarios/steady.py
+++ b/emulator/scenarios/steady.py
@@ -40,7 +40,7 @@
             "standard",
             "fetch",
             1.0,
-            tenant.first,
+            tenant.first_gateway,
             tenant.spread,
         )
         simulation.at(simulation.now + at, fleet.request, index, request)
@@ -54,7 +54,7 @@
         "servers": deployment.servers,
         "tenants": deployment.tenants,
         **tally.as_counts(),
-        "counter_turned_away": counter.tally.turned_away,
+        "counter_turned_away": counter.tally.rejected,
         "gateways_per_server_mean": sum(peers) / len(peers),
         "gateways_per_server_most": max(peers),
         "cpu_us_per_request": 1e6 * cpu / max(1, tally.requests),
--- a/emulator/server_model.py
+++ b/emulator/server_model.py
@@ -1,4 +1,4 @@
-"""Font servers: each works at a fixed rate and holds a bounded backlog."""
+"""Model of a server with a fixed service rate and a bounded backlog."""
 
 from __future__ import annotations
 
@@ -11,24 +11,30 @@
     """One server.
 
     Attributes:
-        rate: requests of mean work served a second; infinite for one that is never the bottleneck.
-        latency: seconds that an answer takes on an idle server.
-        longest_backlog: seconds of work in line past which requests are turned away.
+        rate: requests of mean work served per second; infinite for a server that is never the bottleneck.
+        latency: response time in seconds of an idle server.
+        max_backlog: seconds of queued work above which the server rejects requests.
+        busy_until: virtual time in seconds at which the queued work ends.
+        received: number of requests, rejected ones included.
+        rejected: number of rejected requests.
     """
 
     rate: float = 18.0
     latency: float = 0.1
-    longest_backlog: float = math.inf
+    max_backlog: float = math.inf
     busy_until: float = 0.0
     received: int = 0
-    turned_away: int = 0
+    rejected: int = 0
 
     def receive(self, now: float, work: float = 1.0) -> float | None:
-        """Takes a request in; the virtual time of its answer, or None where it is turned away."""
+        """Queues a request at the virtual time `now`, in seconds, with `work` relative to a mean request.
+
+        Returns the virtual time of the response, or None if the server rejects the request.
+        """
         self.received += 1
-        if self.busy_until - now > self.longest_backlog:
-            self.turned_away += 1
+        if self.busy_until - now > self.max_backlog:
+            self.rejected += 1
             return None
-        gap = work / self.rate if math.isfinite(self.rate) else 0.0
-        self.busy_until = max(now + self.latency, self.busy_until + gap)
+        service_time = work / self.rate if math.isfinite(self.rate) else 0.0
+        self.busy_until = max(now + self.latency, self.busy_until + service_time)
         return self.busy_until
--- a/emulator/virtual_loop.py
+++ b/emulator/virtual_loop.py
@@ -7,19 +7,23 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock stands still but where nothing is left to do: it then goes on to the next timer."""
+    """An event loop whose clock advances only when no callback is ready, and then jumps to the next timer.
+
+    Raises AssertionError if there is neither a ready callback nor a timer, that is if the code would wait
+    for ever.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.now, select = 0.0, self._selector.select  # type: ignore[attr-defined]
 
-        def go_on(timeout: float | None = None) -> Any:
-            assert timeout is not None, "nothing is left that could happen"
+        def advance(timeout: float | None = None) -> Any:
+            assert timeout is not None, "deadlock: no callback is ready and no timer is scheduled"
             self.now += timeout
             return select(0)
 
-        self._selector.select = go_on  # type: ignore[attr-defined]
+        self._selector.select = advance  # type: ignore[attr-defined]
 
     def time(self) -> float:
-        """Seconds of virtual time."""
+        """Returns the virtual time in seconds."""
         return self.now
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -48,23 +48,23 @@
 
 def test_a_counter_serves_in_turn_turns_away_and_forgets():
     simulation = Simulation()
-    counter = CounterModel(simulation, calls_per_second=100.0, parts=1, timeout=0.05, longest_line=0.1)
+    counter = CounterModel(simulation, calls_per_second=100.0, shards=1, timeout=0.05, max_queue_time=0.1)
     results_of = [result for result, _, _ in counter_answers(simulation, counter, 30)]
     assert results_of.count("ok") == counter.tally.answered < 5  # 10 ms each, 50 ms at most
-    assert results_of.count("full") == counter.tally.turned_away > 10
-    counter.lose_counts()
+    assert results_of.count("full") == counter.tally.rejected > 10
+    counter.reset_totals()
     simulation.after(10.0, lambda: None)
     simulation.run()
     assert counter_answers(simulation, counter, 1)[0][:2] == ("ok", 1.0)
-    counter.silent = True
+    counter.unreachable = True
     assert counter_answers(simulation, counter, 1)[0][0] == "timeout"
 
 
 def test_a_server_works_at_its_rate_and_turns_away_past_its_backlog():
-    server = ServerModel(rate=10.0, latency=0.1, longest_backlog=0.55)
+    server = ServerModel(rate=10.0, latency=0.1, max_backlog=0.55)
     answers = [server.receive(0.0) for _ in range(8)]
     assert answers[:6] == pytest.approx([0.1, 0.2, 0.3, 0.4, 0.5, 0.6])
-    assert answers[6:] == [None, None] and server.turned_away == 2
+    assert answers[6:] == [None, None] and server.rejected == 2
 
 
 def test_skewed_tenants_ask_in_proportion():
@@ -72,14 +72,14 @@
     asked = [tenant.name for tenant, _ in population.draw(20_000)]
     first, tenth = asked.count(population.tenants[0].name), asked.count(population.tenants[9].name)
     assert 7 < first / tenth < 14
-    assert all((index - tenant.first) % 10 < 3 for tenant, index in population.draw(200))
+    assert all((index - tenant.first_gateway) % 10 < 3 for tenant, index in population.draw(200))
 
 
 def whole_and_changes(held, made):
     """What discovery sends to one that holds a version, after so many changes."""
 
     async def ask():
-        model = DiscoveryModel([Deployment(1, 5).discovery_entry(n) for n in range(5)], 1e6, history=3)
+        model = DiscoveryModel([Deployment(1, 5).discovery_entry(n) for n in range(5)], 1e6, max_history=3)
         for number in range(made):
             model.change(Deployment(1, 5).discovery_entry(number, state="draining"))
         return json.loads(await model.get(f"/v1/endpoints?index={held}&wait=1"))
