--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,8 +1,9 @@
 """Scale tests: an emulator of the systems around the gateways.
 
-Two kinds of gateway are driven. *Hollow* gateways are the real decision module without sockets, thousands
-of them in one process and in virtual time. *Real* gateways are the program as `deploy/balancer.toml` runs
-it, a few processes on loopback before stand-ins that speak the protocol.
+Two kinds of gateway are driven. *Hollow* gateways run the decision code of a real gateway without sockets,
+thousands of them in one process and in virtual time. *Real* gateways are the program as
+`deploy/balancer.toml` runs it: a few processes on loopback that talk to stand-ins for servers, counter and
+discovery.
 
-Nothing in the gateway imports this package; `python -m emulator --help` tells how to use it.
+The gateway itself imports nothing from this package. `python -m emulator --help` describes its commands.
 """
--- a/emulator/__main__.py
+++ b/emulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m emulator`: see `emulator.cli`."""
+"""Entry point of `python -m emulator`; see `emulator.cli`."""
 
 from emulator.cli import main
 
--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -1,4 +1,4 @@
-"""The command line: `python -m emulator list | run SCENARIO | report FILE...`."""
+"""The command line: `python -m emulator list | run SCENARIO | report FILE... | soak`."""
 
 from __future__ import annotations
 
@@ -21,11 +21,14 @@
 from emulator.scenarios.base import Options, ScenarioError
 from emulator.soak.command import soak
 
-USAGE, INTERRUPTED = 2, 130  # exit codes
-MOST_GATEWAYS, MOST_SERVERS, MOST_TENANTS = 10_000, 200_000, 1_000_000
+EXIT_USAGE = 2  # exit status after wrong arguments
+EXIT_INTERRUPTED = 130  # exit status after SIGINT
+MAX_GATEWAYS = 10_000
+MAX_SERVERS = 200_000
+MAX_TENANTS = 1_000_000
 
 app = typer.Typer(
-    help="Scale tests of the gateway: hollow gateways in virtual time, real ones on loopback.",
+    help="Scale tests of the gateway: hollow gateways in virtual time, real gateways on loopback.",
     add_completion=False,
     rich_markup_mode=None,
     pretty_exceptions_enable=False,
@@ -33,8 +36,11 @@
 log = structlog.get_logger()
 
 
-def console() -> Console:
-    """Where tables go: as wide as they need to be, where nobody watches."""
+def make_console() -> Console:
+    """Returns a console for tables.
+
+    It is 240 columns wide if standard output is not a terminal, so that long rows are not wrapped.
+    """
     return Console() if sys.stdout.isatty() else Console(width=240)
 
 
@@ -47,11 +53,11 @@
     for scenario in SCENARIOS.values():
         default = " (default)" if scenario.name == DEFAULT else ""
         table.add_row(scenario.name + default, scenario.kind, scenario.summary)
-    console().print(table)
+    make_console().print(table)
 
 
-def known_scenario(name: str) -> str:
-    """Checks a scenario's name."""
+def validate_scenario_name(name: str) -> str:
+    """Returns the name of a scenario unchanged; raises typer.BadParameter if there is no such scenario."""
     if name not in SCENARIOS:
         raise typer.BadParameter(f"no scenario {name!r}; there are {', '.join(SCENARIOS)}")
     return name
@@ -60,37 +66,48 @@
 @app.command("run")
 def run(
     scenario: Annotated[
-        str, typer.Argument(help="Name, as `list` gives it.", callback=known_scenario)
+        str,
+        typer.Argument(
+            help="Name of the scenario; `list` prints all names.", callback=validate_scenario_name
+        ),
     ] = DEFAULT,
-    gateways: Annotated[int | None, typer.Option(min=1, max=MOST_GATEWAYS, help="Largest fleet.")] = None,
+    gateways: Annotated[
+        int | None, typer.Option(min=1, max=MAX_GATEWAYS, help="Number of gateways in the largest fleet.")
+    ] = None,
     servers: Annotated[
-        int | None, typer.Option(min=1, max=MOST_SERVERS, help="Longest list of servers.")
+        int | None, typer.Option(min=1, max=MAX_SERVERS, help="Number of servers in the longest server list.")
+    ] = None,
+    tenants: Annotated[
+        int | None, typer.Option(min=1, max=MAX_TENANTS, help="Largest number of tenants.")
+    ] = None,
+    seed: Annotated[
+        int, typer.Option(min=0, help="Seed of all random numbers; it determines the counts.")
+    ] = 1,
+    out: Annotated[
+        Path | None, typer.Option(dir_okay=False, help="File to which the result is also written as JSON.")
     ] = None,
-    tenants: Annotated[int | None, typer.Option(min=1, max=MOST_TENANTS, help="Most tenants.")] = None,
-    seed: Annotated[int, typer.Option(min=0, help="Of all random numbers; fixes the counts.")] = 1,
-    out: Annotated[Path | None, typer.Option(dir_okay=False, help="Also write the result as JSON.")] = None,
 ) -> None:
-    """Runs one scenario and prints what it measured."""
-    chosen = SCENARIOS[scenario]
+    """Runs one scenario and prints its results."""
+    selected = SCENARIOS[scenario]
     bar = Progress(
         TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn(), console=Console(stderr=True)
     )
     with bar:
-        task = bar.add_task(chosen.name, total=1.0)
+        task = bar.add_task(selected.name, total=1.0)
 
-        def progress(text: str, part: float) -> None:
-            bar.update(task, description=f"{chosen.name}: {text}", completed=part)
+        def progress(text: str, fraction: float) -> None:
+            bar.update(task, description=f"{selected.name}: {text}", completed=fraction)
 
         options = Options(gateways, servers, tenants, seed, progress)
-        result = run_scenario(chosen, options, "python -m emulator " + shlex.join(sys.argv[1:]))
+        result = run_scenario(selected, options, "python -m emulator " + shlex.join(sys.argv[1:]))
         bar.update(task, completed=1.0)
-    print_result(console(), result)
+    print_result(make_console(), result)
     if out is not None:
-        write(result, out)
+        write_result(result, out)
 
 
-def write(result: Result, path: Path) -> None:
-    """Writes a result's file, or ends with a line that says why not."""
+def write_result(result: Result, path: Path) -> None:
+    """Writes a result to a file; raises typer.BadParameter with the reason if the file cannot be written."""
     try:
         result.write(path)
     except OSError as err:
@@ -100,18 +117,21 @@
 
 @app.command("report")
 def report(
-    files: Annotated[list[Path], typer.Argument(help="Results that `run --out` wrote.", metavar="FILE...")],
+    files: Annotated[
+        list[Path], typer.Argument(help="Result files written by `run --out`.", metavar="FILE...")
+    ],
     plots: Annotated[
-        Path | None, typer.Option(file_okay=False, help="Draw the slopes as PNG into it.")
+        Path | None,
+        typer.Option(file_okay=False, help="Folder into which the fitted lines are drawn as PNG files."),
     ] = None,
 ) -> None:
-    """Prints results again, and draws their slopes."""
+    """Prints saved results and, with --plots, draws their fitted lines."""
     try:
         results = [read_result(path) for path in files]
     except ResultFileError as err:
         raise typer.BadParameter(str(err)) from err
     for result in results:
-        print_result(console(), result)
+        print_result(make_console(), result)
         for fit in result.fits if plots else ():
             log.info("plot drawn", file=str(plot_fit(result, fit, plots)))
 
@@ -120,7 +140,10 @@
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Runs the command line. Bad arguments give one line on standard error and exit code 2."""
+    """Runs the command line and exits.
+
+    The exit status is 2, after one line on standard error, if the arguments are wrong, and 130 after SIGINT.
+    """
     structlog.configure(
         processors=[
             structlog.processors.TimeStamper("iso"),
@@ -134,11 +157,11 @@
         code = app(arguments or ["--help"], prog_name="python -m emulator", standalone_mode=False)
     except TyperException as err:
         print(f"emulator: {' '.join(err.format_message().split())}", file=sys.stderr)
-        sys.exit(USAGE)
+        sys.exit(EXIT_USAGE)
     except ScenarioError as err:
         print(f"emulator: {err}", file=sys.stderr)
-        sys.exit(USAGE)
+        sys.exit(EXIT_USAGE)
     except (KeyboardInterrupt, Abort):
         print("emulator: interrupted", file=sys.stderr)
-        sys.exit(INTERRUPTED)
+        sys.exit(EXIT_INTERRUPTED)
     sys.exit(code or 0)
--- a/emulator/report.py
+++ b/emulator/report.py
@@ -1,4 +1,4 @@
-"""Results as tables and plots."""
+"""Prints results as tables and draws their fitted lines."""
 
 from __future__ import annotations
 
@@ -12,49 +12,52 @@
 
 from emulator.results import Fit, Result
 
-PLOT_SIZE, PLOT_DPI = (6.4, 4.0), 110  # inches; dots an inch
-SMALL = 0.001  # figures below it are shown as powers of ten
+PLOT_SIZE = (6.4, 4.0)  # width and height in inches
+PLOT_DPI = 110  # dots per inch
+SCIENTIFIC_BELOW = 0.001  # absolute values below it are printed in scientific notation
 
 
-def shown(value: float) -> str:
-    """A figure as tables show it."""
+def format_value(value: float) -> str:
+    """Formats a value for a table."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, int) or float(value).is_integer():
         return f"{int(value):,}"
     if math.isnan(value):
         return "-"
-    return f"{value:.2e}" if 0 < abs(value) < SMALL else f"{value:,.4g}"
+    return f"{value:.2e}" if 0 < abs(value) < SCIENTIFIC_BELOW else f"{value:,.4g}"
 
 
-def columns(result: Result) -> list[str]:
-    """Names of all figures in the rows, in the order in which they come."""
+def column_names(result: Result) -> list[str]:
+    """Returns the names of all columns in the rows, in order of first appearance."""
     return list(dict.fromkeys(name for row in result.rows for name in row))
 
 
 def rows_table(result: Result) -> Table:
-    """The measured rows; figures that the seed fixes are marked."""
+    """Builds the table of the measured rows. An asterisk marks the columns that the seed determines."""
     table = Table(title=f"{result.scenario}, seed {result.seed}", title_justify="left", box=box.SIMPLE)
-    names = columns(result)
+    names = column_names(result)
     for name in names:
         table.add_column(name + ("*" if name in result.counted else ""), justify="right")
     for row in result.rows:
-        table.add_row(*(shown(row[name]) if name in row else "-" for name in names))
+        table.add_row(*(format_value(row[name]) if name in row else "-" for name in names))
     return table
 
 
 def fits_table(fits: Iterable[Fit]) -> Table:
-    """The fitted lines."""
+    """Builds the table of the fitted lines."""
     table = Table(title="figure = base + slope x size", title_justify="left", box=box.SIMPLE)
     for name in ("figure", "size", "slope", "base", "r squared"):
         table.add_column(name, justify="left" if name in ("figure", "size") else "right")
     for fit in fits:
-        table.add_row(fit.figure, fit.by, shown(fit.slope), shown(fit.base), f"{fit.r_squared:.4f}")
+        table.add_row(
+            fit.figure, fit.by, format_value(fit.slope), format_value(fit.base), f"{fit.r_squared:.4f}"
+        )
     return table
 
 
 def print_result(console: Console, result: Result) -> None:
-    """Prints one result."""
+    """Prints the tables of one result, the command that produced it, its commit and the machine load."""
     console.print(rows_table(result))
     if result.fits:
         console.print(fits_table(result.fits))
@@ -67,7 +70,7 @@
 
 
 def plot_fit(result: Result, fit: Fit, folder: Path) -> Path:
-    """Draws the measured points and their line as a PNG; the file's path."""
+    """Draws the measured points and the fitted line as a PNG file in `folder`; returns its path."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -81,7 +84,10 @@
     axes.plot(sizes, [y for _, y in points], "o", label="measured")
     line = [fit.base + fit.slope * x for x in sizes]
     axes.plot(
-        sizes, line, "-", label=f"{shown(fit.base)} + {shown(fit.slope)} x, r squared {fit.r_squared:.3f}"
+        sizes,
+        line,
+        "-",
+        label=f"{format_value(fit.base)} + {format_value(fit.slope)} x, r squared {fit.r_squared:.3f}",
     )
     axes.set_xlabel(fit.by)
     axes.set_ylabel(fit.figure)
--- a/emulator/runner.py
+++ b/emulator/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario and makes its result."""
+"""Runs a scenario and collects its result."""
 
 from __future__ import annotations
 
@@ -8,8 +8,11 @@
 from emulator.scenarios.base import Options, Row, Scenario
 
 
-def fitted(scenario: Scenario, rows: list[Row]) -> list:
-    """Lines over the rows that hold both figures; none where fewer than three sizes do."""
+def fit_slopes(scenario: Scenario, rows: list[Row]) -> list:
+    """Fits a line for each slope of the scenario, over the rows that have both columns.
+
+    A slope whose rows have fewer than three different sizes is left out.
+    """
     fits = []
     for figure, by in scenario.slopes:
         points = [row for row in rows if figure in row and by in row]
@@ -19,8 +22,11 @@
 
 
 def run_scenario(scenario: Scenario, options: Options, command: str) -> Result:
-    """Runs it; the result names the command, the seed, the commit and the machine's load."""
-    load_before, began = machine_load(), time.monotonic()
+    """Runs a scenario.
+
+    The result also holds the command, the seed, the commit, and the machine's load before and after the run.
+    """
+    load_before, started_at = machine_load(), time.monotonic()
     rows = scenario.run(options)
     return Result(
         scenario=scenario.name,
@@ -28,9 +34,9 @@
         seed=options.seed,
         rows=rows,
         counted=list(scenario.counted),
-        fits=fitted(scenario, rows),
+        fits=fit_slopes(scenario, rows),
         commit=current_commit(),
         load_before=load_before,
         load_after=machine_load(),
-        seconds=round(time.monotonic() - began, 2),
+        seconds=round(time.monotonic() - started_at, 2),
     )
