--- a/emulator/scenarios/accounts.py
+++ b/emulator/scenarios/accounts.py
@@ -1,4 +1,4 @@
-"""What a tenant costs a gateway that it was seen at: memory, and the entries held."""
+"""Scenario: memory and quota entries that each tenant costs a gateway."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 from emulator.measure import memory_megabytes
 from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 
-TENANTS = 32_000  # more than a gateway sees in a few minutes; a ninth of all
+MAX_TENANTS = 32_000  # more than one gateway serves in a few minutes; a ninth of all tenants
 SERVERS = 64
 
 
 def measure(tenants: int, gateways: int, seed: int) -> Row:
-    """One request of each of so many tenants within one second, answered at once."""
+    """Measures one gateway that serves one request of each of `tenants` tenants within one second.
+
+    Each request is answered at once.
+    """
     deployment = Deployment(gateways, SERVERS, tenants)
 
-    def see_all() -> GatewayPolicy:
+    def serve_all_tenants() -> GatewayPolicy:
         gateway = GatewayPolicy(deployment.settings(0), seed, 1000.0)
         gateway.handle(1000.0, api.ServerListUpdate("cached", 1, deployment.all_servers()))
         for number in range(tenants):
@@ -30,17 +33,17 @@
         gateway.handle(1010.0, api.TimerExpired(0))
         return gateway
 
-    gateway, kept, _ = memory_megabytes(see_all)
-    return {"tenants": tenants, "accounts_held": len(gateway.tenant_quotas), "memory_mb": kept}
+    gateway, memory, _ = memory_megabytes(serve_all_tenants)
+    return {"tenants": tenants, "accounts_held": len(gateway.tenant_quotas), "memory_mb": memory}
 
 
 def run(options: Options) -> list[Row]:
-    """Four sizes."""
+    """Measures four numbers of tenants."""
     gateways = options.gateways or GATEWAYS_AT_TARGET
-    sizes = geometric_sizes(options.tenants or TENANTS)
+    sizes = geometric_sizes(options.tenants or MAX_TENANTS)
     rows = []
-    for done, tenants in enumerate(sizes):
-        options.progress(f"{tenants} tenants", done / len(sizes))
+    for index, tenants in enumerate(sizes):
+        options.progress(f"{tenants} tenants", index / len(sizes))
         rows.append(measure(tenants, gateways, options.seed))
     return rows
 
@@ -48,7 +51,7 @@
 SCENARIO = Scenario(
     "accounts",
     "hollow",
-    "what a tenant costs a gateway that it was seen at: memory and entries",
+    "memory and quota entries that each tenant costs a gateway",
     run,
     ("tenants", "accounts_held"),
     (("memory_mb", "tenants"), ("accounts_held", "tenants")),
--- a/emulator/scenarios/membership.py
+++ b/emulator/scenarios/membership.py
@@ -1,4 +1,4 @@
-"""What a list of servers costs one gateway: reading it, taking it over, and one change of it."""
+"""Scenario: cost of a server list to one gateway: parsing it, applying it, and applying one change."""
 
 from __future__ import annotations
 
@@ -12,83 +12,83 @@
 from emulator.measure import cpu_seconds, executed_lines, memory_megabytes
 from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 
-CHANGES = 50  # of which the mean is taken
+CHANGED_SERVERS = 50  # servers whose state changes; the results are means over the changes
 
 
-def body(deployment: Deployment) -> bytes:
-    """A whole list as discovery sends it."""
-    entries = [deployment.discovery_entry(n) for n in range(deployment.servers)]
+def full_list_body(deployment: Deployment) -> bytes:
+    """Returns the body of a response of discovery with the full list."""
+    entries = [deployment.discovery_entry(number) for number in range(deployment.servers)]
     return json.dumps({"version": 1, "full": True, "servers": entries}, separators=(",", ":")).encode()
 
 
 def change_body(deployment: Deployment, number: int, state: str) -> bytes:
-    """One change as a watch tells it."""
-    told = {"version": 2, "full": False, "servers": [deployment.discovery_entry(number, state=state)]}
-    return json.dumps(told, separators=(",", ":")).encode()
+    """Returns the body of a response of discovery with one change."""
+    message = {"version": 2, "full": False, "servers": [deployment.discovery_entry(number, state=state)]}
+    return json.dumps(message, separators=(",", ":")).encode()
 
 
-class Taker:
-    """The module, and the network code's table that hands lists to it."""
+class ListReceiver:
+    """A gateway policy and the server table of the network code that passes server lists to it."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.gateway = GatewayPolicy(deployment.settings(0), seed, 1000.0)
         self.table = ServerTable(lambda event: self.gateway.handle(1000.0, event), lambda server: None)
 
-    def take(self, listing: ServerList) -> None:
-        """Takes a list over, and looks for a server once, which is when the lists of them are made."""
-        for _ in self.table.apply(listing):
+    def apply_list(self, server_list: ServerList) -> None:
+        """Applies a server list, and refreshes the load balancer, which builds its candidate lists lazily."""
+        for _ in self.table.apply(server_list):
             pass
         self.gateway.balancer.refresh()
 
 
 def measure(deployment: Deployment, seed: int) -> Row:
-    """One size."""
-    text = body(deployment)
-    listing, reading = cpu_seconds(lambda: parse_server_list(text))
-    taker = Taker(deployment, seed)
-    _, taking = cpu_seconds(lambda: taker.take(listing))
-    step = max(1, deployment.servers // CHANGES)
-    changed = [
-        (deployment.server(n, state),)
+    """Measures the costs at one length of the server list."""
+    body = full_list_body(deployment)
+    server_list, parse_seconds = cpu_seconds(lambda: parse_server_list(body))
+    receiver = ListReceiver(deployment, seed)
+    _, apply_seconds = cpu_seconds(lambda: receiver.apply_list(server_list))
+    step = max(1, deployment.servers // CHANGED_SERVERS)
+    changed_servers = [
+        (deployment.server(number, state),)
         for state in ("leaving", "up")
-        for n in range(0, deployment.servers, step)
+        for number in range(0, deployment.servers, step)
     ]
-    changes = [api.ServerListUpdate("delta", 2, hosts) for hosts in changed]
+    changes = [api.ServerListUpdate("delta", 2, servers) for servers in changed_servers]
 
-    def change_all() -> None:
+    def apply_changes() -> None:
         for change in changes:
-            taker.gateway.handle(1000.0, change)
-            taker.gateway.balancer.refresh()
+            receiver.gateway.handle(1000.0, change)
+            receiver.gateway.balancer.refresh()
 
-    _, changing = cpu_seconds(change_all)
-    lines = executed_lines(change_all)
+    _, change_seconds = cpu_seconds(apply_changes)
+    line_count = executed_lines(apply_changes)
 
-    def hold() -> Taker:
-        held = Taker(deployment, seed)
-        held.take(parse_server_list(text))
-        return held
+    def build_receiver() -> ListReceiver:
+        new_receiver = ListReceiver(deployment, seed)
+        new_receiver.apply_list(parse_server_list(body))
+        return new_receiver
 
-    _, kept, peak = memory_megabytes(hold)
+    _, memory, peak_memory = memory_megabytes(build_receiver)
     return {
         "servers": deployment.servers,
-        "body_bytes": len(text),
+        "body_bytes": len(body),
         "change_bytes": len(change_body(deployment, 0, "up")),
-        "read_ms": 1000 * reading,
-        "module_ms": 1000 * taking,
-        "change_ms": 1000 * changing / len(changes),
-        "change_lines": lines / len(changes),
-        "memory_mb": kept,
-        "memory_peak_mb": peak,
+        "read_ms": 1000 * parse_seconds,
+        "module_ms": 1000 * apply_seconds,
+        "change_ms": 1000 * change_seconds / len(changes),
+        "change_lines": line_count / len(changes),
+        "memory_mb": memory,
+        "memory_peak_mb": peak_memory,
     }
 
 
 def run(options: Options) -> list[Row]:
-    """Sizes up to the target's 51,000 servers."""
+    """Measures five list lengths, up to the 51,000 servers of the target deployment."""
     gateways = options.gateways or GATEWAYS_AT_TARGET
     sizes = geometric_sizes(options.servers or SERVERS_AT_TARGET, steps=5, factor=4.0)
     rows = []
-    for done, servers in enumerate(sizes):
-        options.progress(f"{servers} servers", done / len(sizes))
+    for index, servers in enumerate(sizes):
+        options.progress(f"{servers} servers", index / len(sizes))
         rows.append(measure(Deployment(gateways, servers), options.seed))
     return rows
 
@@ -96,7 +96,7 @@
 SCENARIO = Scenario(
     "membership",
     "hollow",
-    "what a list of servers costs one gateway: bytes, CPU and memory of a whole list and of one change",
+    "bytes, CPU and memory that a full server list and one change of it cost a gateway",
     run,
     ("servers", "body_bytes", "change_bytes", "change_lines"),
     (
--- a/emulator/scenarios/partition.py
+++ b/emulator/scenarios/partition.py
@@ -1,4 +1,4 @@
-"""A counter that cannot be reached: units that pass beyond the quotas."""
+"""Scenario: units that are admitted over quota while the counter is unreachable."""
 
 from __future__ import annotations
 
@@ -11,86 +11,96 @@
 from emulator.tenants import TenantPopulation
 from emulator.virtual_time import Simulation
 
-GATEWAYS, SERVERS, TENANTS, SPREAD = 16, 64, 24, 4
-SECONDS = 240.0  # of silence at the largest size
-BEFORE = 20.0  # seconds in which the counter answers
-DEMAND = 2.0  # times the quota that each tenant asks
+GATEWAYS = 16
+SERVERS = 64
+TENANTS = 24
+SPREAD = 4  # gateways that receive the requests of one tenant
+OUTAGE_SECONDS = 240.0  # longest outage of the counter
+WARMUP_SECONDS = 20.0  # time before the outage, in which the counter answers
+DEMAND_FACTOR = 2.0  # requested rate of each tenant as a multiple of its quota
 PLAN = PlanQuota("standard", 4.0, 8.0)
 
 
-class QuotaBooks:
-    """What each tenant may pass over all gateways: a store of `burst` units that fills at `rate`."""
+class QuotaAudit:
+    """Checks the admitted units of each tenant, over all gateways, against the token bucket of its plan.
+
+    Attributes:
+        within_quota: admitted units that the bucket held.
+        over_quota: admitted units that it did not hold.
+    """
 
     def __init__(self, plan: PlanQuota) -> None:
         self.plan = plan
-        self.inside = self.beyond = 0.0
-        self._stores: dict[str, tuple[float, float]] = {}
-
-    def take(self, tenant: str, now: float, units: float) -> None:
-        """Books units that were sent on at the time `now` (seconds)."""
-        left, at = self._stores.get(tenant, (self.plan.burst, now))
-        left = min(self.plan.burst, left + (now - at) * self.plan.rate)
-        if left >= units:
-            left -= units
-            self.inside += units
+        self.within_quota = self.over_quota = 0.0
+        self._buckets: dict[str, tuple[float, float]] = {}
+
+    def record(self, tenant: str, now: float, units: float) -> None:
+        """Records units that a gateway sent to a server at the time `now`, in seconds."""
+        available, at = self._buckets.get(tenant, (self.plan.burst, now))
+        available = min(self.plan.burst, available + (now - at) * self.plan.rate)
+        if available >= units:
+            available -= units
+            self.within_quota += units
         else:
-            self.beyond += units
-        self._stores[tenant] = (left, now)
+            self.over_quota += units
+        self._buckets[tenant] = (available, now)
 
 
 def measure(seconds: float, gateways: int, tenants: int, seed: int) -> Row:
-    """One length of the silence."""
+    """Measures an outage of the counter that lasts `seconds`."""
     deployment = Deployment(gateways, SERVERS, tenants, plans=(PLAN,))
     simulation = Simulation(start=1000.0)
     counter = CounterModel(simulation, 1e5, seed=seed)
     servers = {deployment.server_id(n): ServerModel(rate=1e6) for n in range(SERVERS)}
-    books, first_attempts, tenant_of = QuotaBooks(PLAN), set[str](), dict[str, str]()
+    audit, first_attempts, tenant_of = QuotaAudit(PLAN), set[str](), dict[str, str]()
 
-    def attempted(attempt: Attempt) -> None:
+    def record_attempt(attempt: Attempt) -> None:
         if attempt.request not in first_attempts:
             first_attempts.add(attempt.request)
-            books.take(tenant_of[attempt.request], attempt.at, attempt.units)
+            audit.record(tenant_of[attempt.request], attempt.at, attempt.units)
 
     fleet = HollowFleet(
-        simulation, deployment.settings, gateways, servers, counter, seed, on_attempt=attempted
+        simulation, deployment.settings, gateways, servers, counter, seed, on_attempt=record_attempt
     )
     fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.all_servers()))
     population = TenantPopulation(tenants, gateways, SPREAD, 0.0, seed)
-    rate, whole = DEMAND * PLAN.rate * tenants, BEFORE + seconds
+    rate, total_seconds = DEMAND_FACTOR * PLAN.rate * tenants, WARMUP_SECONDS + seconds
 
-    def ask(name: str, tenant: str, first: int, index: int) -> None:
+    def send_request(name: str, tenant: str, first_gateway: int, index: int) -> None:
         tenant_of[name] = tenant
         fleet.request(
-            index, api.Request(name, 1.5, tenant, "standard", "fetch", 1.0, first, population.spread)
+            index, api.Request(name, 1.5, tenant, "standard", "fetch", 1.0, first_gateway, population.spread)
         )
 
-    arrivals = population.arrivals(int(rate * whole), rate)
+    arrivals = population.arrivals(int(rate * total_seconds), rate)
     for number, (at, (tenant, index)) in enumerate(
         zip(arrivals, population.draw(len(arrivals)), strict=True)
     ):
-        simulation.at(simulation.now + at, ask, f"r{number}", tenant.name, tenant.first_gateway, index)
-    simulation.run(simulation.now + BEFORE)
-    beyond_before = books.beyond
+        simulation.at(
+            simulation.now + at, send_request, f"r{number}", tenant.name, tenant.first_gateway, index
+        )
+    simulation.run(simulation.now + WARMUP_SECONDS)
+    over_quota_before = audit.over_quota
     counter.unreachable = True
     simulation.run(simulation.now + seconds)
     return {
         "seconds": seconds,
         "tenants": tenants,
         "requests": fleet.tally.requests,
-        "passed_inside": books.inside,
-        "passed_beyond": books.beyond,
-        "overdraft_units": books.beyond - beyond_before,
-        "overdraft_part_of_quota": (books.beyond - beyond_before) / (PLAN.rate * tenants * seconds),
+        "passed_inside": audit.within_quota,
+        "passed_beyond": audit.over_quota,
+        "overdraft_units": audit.over_quota - over_quota_before,
+        "overdraft_part_of_quota": (audit.over_quota - over_quota_before) / (PLAN.rate * tenants * seconds),
     }
 
 
 def run(options: Options) -> list[Row]:
-    """Four lengths of the silence; every tenant asks twice its quota."""
+    """Measures four durations of the outage. Every tenant requests twice its quota."""
     gateways, tenants = options.gateways or GATEWAYS, options.tenants or TENANTS
     rows = []
-    lengths = geometric_sizes(int(SECONDS), factor=2.0)
-    for done, seconds in enumerate(lengths):
-        options.progress(f"{seconds} s without the counter", done / len(lengths))
+    durations = geometric_sizes(int(OUTAGE_SECONDS), factor=2.0)
+    for step, seconds in enumerate(durations):
+        options.progress(f"{seconds} s without the counter", step / len(durations))
         rows.append(measure(float(seconds), gateways, tenants, options.seed))
     return rows
 
@@ -98,7 +108,7 @@
 SCENARIO = Scenario(
     "partition",
     "hollow",
-    "a counter that cannot be reached: units that pass beyond the quotas, by the length of its silence",
+    "units admitted over quota while the counter is unreachable, by the duration of the outage",
     run,
     (
         "seconds",
--- a/emulator/scenarios/quota.py
+++ b/emulator/scenarios/quota.py
@@ -1,4 +1,4 @@
-"""Counter calls per request, by a tenant's rate and by the gateways that it comes through."""
+"""Scenario: counter calls per request, by the rate of a tenant and the number of its gateways."""
 
 from __future__ import annotations
 
@@ -11,17 +11,20 @@
 from emulator.tenants import TenantPopulation
 from emulator.virtual_time import Simulation
 
-GATEWAYS, SERVERS = 64, 64
-RATES = (0.25, 1.0, 4.0, 16.0, 64.0)  # of the plan, in units a second
-SPREADS = (2, 8, 32)
-USED = 0.5  # part of the rate that is asked for
-WINDOWS, LEAST_SECONDS, BURST_SECONDS = 6, 20.0, 2.0
+GATEWAYS = 64
+SERVERS = 64
+RATES = (0.25, 1.0, 4.0, 16.0, 64.0)  # rate of the plan in units per second
+SPREADS = (2, 8, 32)  # gateways that receive the requests of the tenant
+UTILIZATION = 0.5  # requested share of the rate
+BURST_SECONDS = 2.0  # burst of the plan, in seconds at its rate; at least one unit
+MIN_REFILLS = 6  # a measurement lasts at least so many times as long as the burst takes to refill
+MIN_SECONDS = 20.0  # shortest measurement
 
 
 def measure(rate: float, spread: int, gateways: int, seed: int) -> Row:
-    """One tenant by itself, before a counter that is never crowded."""
+    """Measures a single tenant with a counter that is never saturated."""
     burst = max(1.0, BURST_SECONDS * rate)
-    seconds = max(LEAST_SECONDS, WINDOWS * burst / rate)
+    seconds = max(MIN_SECONDS, MIN_REFILLS * burst / rate)
     deployment = Deployment(gateways, SERVERS, 1, plans=(PlanQuota("standard", rate, burst),))
     simulation = Simulation(start=1000.0)
     counter = CounterModel(simulation, 1e6, seed=seed)
@@ -29,7 +32,7 @@
     fleet = HollowFleet(simulation, deployment.settings, gateways, servers, counter, seed)
     fleet.deliver_to_all(api.ServerListUpdate("cached", 1, deployment.all_servers()))
     population = TenantPopulation(1, gateways, spread, 0.0, seed)
-    arrivals = population.arrivals(max(1, int(rate * USED * seconds)), rate * USED)
+    arrivals = population.arrivals(max(1, int(rate * UTILIZATION * seconds)), rate * UTILIZATION)
     for number, (at, (tenant, index)) in enumerate(
         zip(arrivals, population.draw(len(arrivals)), strict=True)
     ):
@@ -51,12 +54,12 @@
 
 
 def run(options: Options) -> list[Row]:
-    """All rates at all spreads."""
+    """Measures all rates at all spreads."""
     gateways = options.gateways or GATEWAYS
     cases = [(rate, spread) for rate in RATES for spread in SPREADS if spread <= gateways]
     rows = []
-    for done, (rate, spread) in enumerate(cases):
-        options.progress(f"{rate:g} units a second through {spread} gateways", done / len(cases))
+    for step, (rate, spread) in enumerate(cases):
+        options.progress(f"{rate:g} units a second through {spread} gateways", step / len(cases))
         rows.append(measure(rate, spread, gateways, options.seed))
     return rows
 
@@ -64,7 +67,7 @@
 SCENARIO = Scenario(
     "quota",
     "hollow",
-    "counter calls per request, by a tenant's rate and the gateways that it comes through",
+    "counter calls per request, by the rate of a tenant and the number of its gateways",
     run,
     ("rate", "spread", "requests", "served", "counter_calls", "calls_per_request", "refused_part"),
     (("calls_per_request", "spread"),),
--- a/emulator/scenarios/steady.py
+++ b/emulator/scenarios/steady.py
@@ -1,4 +1,4 @@
-"""An ordinary stretch at several sizes of the fleet: requests, attempts, counter calls, connections."""
+"""Scenario: normal operation at several fleet sizes: requests, attempts, counter calls, connections."""
 
 from __future__ import annotations
 
@@ -14,14 +14,18 @@
 from emulator.tenants import TenantPopulation
 from emulator.virtual_time import Simulation
 
-GATEWAYS, SERVERS_PER_GATEWAY, TENANTS_PER_GATEWAY = 240, 2, 20
-REQUESTS_PER_SERVER, SECONDS = 6.0, 4.0  # a second; of virtual time
-SPREAD, SKEW = 3, 0.6
-COUNTER_CALLS_PER_GATEWAY = 30.0  # a second
+GATEWAYS = 240
+SERVERS_PER_GATEWAY = 2
+TENANTS_PER_GATEWAY = 20
+REQUESTS_PER_SERVER = 6.0  # per second
+SECONDS = 4.0  # virtual time in which requests arrive
+SPREAD = 3  # gateways that receive the requests of one tenant
+SKEW = 0.6  # exponent of the distribution of the tenants' rates
+COUNTER_CALLS_PER_GATEWAY = 30.0  # per second
 
 
-def play(deployment: Deployment, seed: int, seconds: float = SECONDS) -> tuple[HollowFleet, Row]:
-    """Plays one size; the fleet as it ended, and its row."""
+def simulate(deployment: Deployment, seed: int, seconds: float = SECONDS) -> tuple[HollowFleet, Row]:
+    """Simulates one fleet size; returns the fleet in its final state and the row of the results."""
     simulation = Simulation(start=1000.0)
     counter = CounterModel(simulation, COUNTER_CALLS_PER_GATEWAY * deployment.gateways, seed=seed)
     servers = {deployment.server_id(n): ServerModel() for n in range(deployment.servers)}
@@ -44,34 +48,34 @@
             tenant.spread,
         )
         simulation.at(simulation.now + at, fleet.request, index, request)
-    began = time.process_time()
+    started_at = time.process_time()
     simulation.run(simulation.now + seconds + 2 * deployment.deadline)
-    cpu = time.process_time() - began
+    cpu = time.process_time() - started_at
     tally = fleet.tally
-    peers = [len(fleet.connected[name]) for name in servers]
+    gateways_per_server = [len(fleet.connected[name]) for name in servers]
     row: Row = {
         "gateways": deployment.gateways,
         "servers": deployment.servers,
         "tenants": deployment.tenants,
         **tally.as_counts(),
         "counter_turned_away": counter.tally.rejected,
-        "gateways_per_server_mean": sum(peers) / len(peers),
-        "gateways_per_server_most": max(peers),
+        "gateways_per_server_mean": sum(gateways_per_server) / len(gateways_per_server),
+        "gateways_per_server_most": max(gateways_per_server),
         "cpu_us_per_request": 1e6 * cpu / max(1, tally.requests),
     }
     return fleet, row
 
 
 def run(options: Options) -> list[Row]:
-    """Four sizes of the fleet, each with the same load a server."""
+    """Measures four fleet sizes, each with the same load per server."""
     rows = []
     sizes = geometric_sizes(options.gateways or GATEWAYS, factor=2.0, least=2)
-    for done, gateways in enumerate(sizes):
-        options.progress(f"{gateways} gateways", done / len(sizes))
-        part = gateways / sizes[-1]
-        servers = max(1, round((options.servers or SERVERS_PER_GATEWAY * sizes[-1]) * part))
-        tenants = max(1, round((options.tenants or TENANTS_PER_GATEWAY * sizes[-1]) * part))
-        rows.append(play(Deployment(gateways, servers, tenants), options.seed)[1])
+    for step, gateways in enumerate(sizes):
+        options.progress(f"{gateways} gateways", step / len(sizes))
+        fraction = gateways / sizes[-1]
+        servers = max(1, round((options.servers or SERVERS_PER_GATEWAY * sizes[-1]) * fraction))
+        tenants = max(1, round((options.tenants or TENANTS_PER_GATEWAY * sizes[-1]) * fraction))
+        rows.append(simulate(Deployment(gateways, servers, tenants), options.seed)[1])
     return rows
 
 
@@ -87,7 +91,7 @@
 SCENARIO = Scenario(
     "steady",
     "hollow",
-    "an ordinary stretch at four sizes of the fleet: requests, attempts, counter calls, connections",
+    "normal operation at four fleet sizes: requests, attempts, counter calls, connections",
     run,
     COUNTED,
     (("counter_calls", "requests"), ("handshakes", "servers"), ("cpu_us_per_request", "gateways")),
--- a/emulator/scenarios/subsets.py
+++ b/emulator/scenarios/subsets.py
@@ -1,4 +1,7 @@
-"""Which servers the gateways keep to: how evenly they are covered, and what a change of the list moves."""
+"""Scenario: the subsets of servers that the gateways use.
+
+It measures how evenly the subsets cover the servers, and how a change of the server list alters them.
+"""
 
 from __future__ import annotations
 
@@ -9,54 +12,54 @@
 from emulator.deployment import GATEWAYS_AT_TARGET, SERVERS_AT_TARGET, Deployment
 from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 
-GATEWAYS = 330  # with as many servers to each as at the target
-REPLACED = 0.01  # part of the servers that is replaced to see what moves
+GATEWAYS = 330  # with the number of servers per gateway of the target deployment
+REPLACED_SHARE = 0.01  # share of the servers that is replaced to measure how the subsets change
 
 
-def subset(gateway: GatewayPolicy) -> set[str]:
-    """The ids of the servers that a gateway keeps to."""
+def subset_ids(gateway: GatewayPolicy) -> set[str]:
+    """Returns the ids of the servers in the subset of a gateway."""
     return {server.info.id for server in gateway.balancer.subset}
 
 
 def measure(deployment: Deployment, seed: int) -> Row:
-    """Subsets of all gateways of one size, before and after a part of the servers is replaced."""
-    hosts = deployment.all_servers()
-    step = round(1 / REPLACED)
-    gone = tuple(deployment.server(n, "down") for n in range(0, deployment.servers, step))
-    new = tuple(deployment.server(deployment.servers + n) for n in range(len(gone)))
-    covered: Counter[str] = Counter({host.id: 0 for host in hosts})
-    sizes, moved, kept_names = [], 0, 0
+    """Compares the subsets of all gateways before and after a share of the servers is replaced."""
+    servers = deployment.all_servers()
+    step = round(1 / REPLACED_SHARE)
+    removed = tuple(deployment.server(number, "down") for number in range(0, deployment.servers, step))
+    added = tuple(deployment.server(deployment.servers + number) for number in range(len(removed)))
+    gateways_by_server: Counter[str] = Counter({server.id: 0 for server in servers})
+    sizes, needlessly_dropped, subset_entries = [], 0, 0
     for index in range(deployment.gateways):
         gateway = GatewayPolicy(deployment.settings(index), seed, 1000.0)
-        gateway.handle(1000.0, api.ServerListUpdate("cached", 1, hosts))
-        before = subset(gateway)
-        covered.update(before)
+        gateway.handle(1000.0, api.ServerListUpdate("cached", 1, servers))
+        before = subset_ids(gateway)
+        gateways_by_server.update(before)
         sizes.append(len(before))
-        gateway.handle(1000.0, api.ServerListUpdate("delta", 2, gone + new))
-        lost = before - subset(gateway)
-        moved += len(lost - {host.id for host in gone})
-        kept_names += len(before)
+        gateway.handle(1000.0, api.ServerListUpdate("delta", 2, removed + added))
+        dropped = before - subset_ids(gateway)
+        needlessly_dropped += len(dropped - {server.id for server in removed})
+        subset_entries += len(before)
     return {
         "gateways": deployment.gateways,
         "servers": deployment.servers,
         "subset_least": min(sizes),
         "subset_most": max(sizes),
-        "gateways_per_server_least": min(covered.values()),
-        "gateways_per_server_mean": sum(covered.values()) / len(covered),
-        "gateways_per_server_most": max(covered.values()),
-        "uncovered_servers": sum(count == 0 for count in covered.values()),
-        "needlessly_dropped_part": moved / max(1, kept_names),
+        "gateways_per_server_least": min(gateways_by_server.values()),
+        "gateways_per_server_mean": sum(gateways_by_server.values()) / len(gateways_by_server),
+        "gateways_per_server_most": max(gateways_by_server.values()),
+        "uncovered_servers": sum(count == 0 for count in gateways_by_server.values()),
+        "needlessly_dropped_part": needlessly_dropped / max(1, subset_entries),
     }
 
 
 def run(options: Options) -> list[Row]:
-    """Three sizes at the target's ratio of servers to gateways."""
+    """Measures three fleet sizes with the target deployment's ratio of servers to gateways."""
     largest = options.gateways or GATEWAYS
     ratio = (options.servers or SERVERS_AT_TARGET * largest / GATEWAYS_AT_TARGET) / largest
     sizes = geometric_sizes(largest, steps=3, factor=2.0, least=2)
     rows = []
-    for done, gateways in enumerate(sizes):
-        options.progress(f"{gateways} gateways", done / len(sizes))
+    for step, gateways in enumerate(sizes):
+        options.progress(f"{gateways} gateways", step / len(sizes))
         rows.append(measure(Deployment(gateways, max(1, round(gateways * ratio))), options.seed))
     return rows
 
@@ -64,7 +67,7 @@
 SCENARIO = Scenario(
     "subsets",
     "hollow",
-    "which servers the gateways keep to: gateways of each server, and what a change of the list moves",
+    "subsets of servers: gateways per server, and how a change of the server list alters the subsets",
     run,
     (
         "gateways",
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -126,11 +126,11 @@
 
 
 def test_the_quota_books_count_what_a_store_does_not_hold():
-    books = partition.QuotaBooks(partition.PLAN)
+    audit = partition.QuotaAudit(partition.PLAN)
     for _ in range(10):
-        books.take("c", 0.0, 1.0)
-    books.take("c", 0.25, 1.0)
-    assert (books.inside, books.beyond) == (9.0, 2.0)
+        audit.record("c", 0.0, 1.0)
+    audit.record("c", 0.25, 1.0)
+    assert (audit.within_quota, audit.over_quota) == (9.0, 2.0)
 
 
 SMALL = {
