--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -55,8 +55,8 @@
             gateways,
             seed=1,
             plan=make_plan(rate=1e6, burst=4e6),
-            most_units=8.0,
-            units=lambda generator: 8.0 if generator.random() < 0.1 else 0.5,
+            max_request_units=8.0,
+            draw_units=lambda generator: 8.0 if generator.random() < 0.1 else 0.5,
         )
         world.run(all_others_removed)
         excess[gateways] = round(world.excess(), 1)
