--- a/emulator/real/__init__.py
+++ b/emulator/real/__init__.py
@@ -1,1 +1,1 @@
-"""Real gateways as processes on loopback, and stand-ins for all that they speak to."""
+"""Real gateways as processes on loopback, and stand-ins for the services that they connect to."""
--- a/emulator/real/processes.py
+++ b/emulator/real/processes.py
@@ -1,4 +1,7 @@
-"""Processes of the emulator: real gateways and the stand-ins. Each ends with the block that started it."""
+"""Processes of the emulator: real gateways and the stand-ins.
+
+The context managers that start a process also terminate it.
+"""
 
 from __future__ import annotations
 
@@ -20,69 +23,83 @@
 from emulator.deployment import Deployment
 from emulator.results import ROOT
 
-READY_TIMEOUT = 30.0  # seconds that a gateway may take to be ready
-EXIT_TIMEOUT = 5.0  # seconds that a process may take to end once it was told to
-LOOK_EVERY = 0.005  # seconds between looks whether a gateway is ready
-PING, PONG = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
-LONGEST_ANSWER = 1024 * 1024  # bytes of a line that the stand-ins print
-CLOCK_TICK = os.sysconf("SC_CLK_TCK")
+READY_TIMEOUT = 30.0  # seconds that a gateway may take to become ready
+EXIT_TIMEOUT = 5.0  # seconds that a process may take to exit after a signal
+READY_POLL_INTERVAL = 0.005  # seconds between two checks whether a gateway is ready
+PING = b"*1\r\n$4\r\nPING\r\n"
+PONG = b"+PONG\r\n"
+MAX_LINE_BYTES = 1024 * 1024  # longest line that the stand-ins may print
+CLOCK_TICK = os.sysconf("SC_CLK_TCK")  # ticks per second in /proc/PID/stat
 
 
 class ProcessError(Exception):
-    """A process did not do what it was started for; the text says what in one line."""
+    """A process did not start or has ended. The message gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What the system counts of a process: CPU in seconds, resident memory now and at its peak in KB."""
+    """Resource usage of a process.
+
+    Attributes:
+        cpu_seconds: CPU time since its start.
+        resident_kb: resident memory in KB.
+        peak_kb: largest resident memory so far, in KB.
+    """
 
-    cpu: float
-    resident: int
-    peak: int
+    cpu_seconds: float
+    resident_kb: int
+    peak_kb: int
 
 
 def process_usage(pid: int) -> ProcessUsage:
-    """Reads /proc; raises ProcessError once the process is gone."""
+    """Reads the resource usage of a process from /proc; raises ProcessError if the process has ended."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         status = Path(f"/proc/{pid}/status").read_text()
     except OSError as err:
         raise ProcessError(f"process {pid} is gone") from err
     sizes = {line.split(":")[0]: line.split() for line in status.splitlines() if line.startswith("Vm")}
-    cpu = (int(fields[11]) + int(fields[12])) / CLOCK_TICK
-    return ProcessUsage(cpu, int(sizes["VmRSS"][1]), int(sizes["VmHWM"][1]))
+    cpu_seconds = (int(fields[11]) + int(fields[12])) / CLOCK_TICK
+    return ProcessUsage(cpu_seconds, int(sizes["VmRSS"][1]), int(sizes["VmHWM"][1]))
 
 
 async def terminate(process: asyncio.subprocess.Process) -> None:
-    """Ends a process that was started here: with SIGTERM, and SIGKILL where that is not heard in time."""
-    for number in (signal.SIGTERM, signal.SIGKILL):
+    """Terminates a child process with SIGTERM, and with SIGKILL if it does not exit within EXIT_TIMEOUT."""
+    for signal_number in (signal.SIGTERM, signal.SIGKILL):
         if process.returncode is not None:
             return
         with contextlib.suppress(ProcessLookupError):
-            process.send_signal(number)
+            process.send_signal(signal_number)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(process.wait(), EXIT_TIMEOUT)
 
 
 class StandInProcess:
-    """The stand-ins in their own process; `ports` by "server", "counter" and "discovery"."""
+    """The process of the stand-ins.
+
+    Attributes:
+        ports: ports on 127.0.0.1 by "server", "counter" and "discovery".
+    """
 
     def __init__(self, process: asyncio.subprocess.Process, ports: dict[str, int]) -> None:
         self.process, self.ports = process, ports
 
-    async def command(self, do: str, **fields: Any) -> dict[str, Any]:
-        """Has one command carried out; raises ProcessError if the process has ended."""
+    async def command(self, name: str, **fields: Any) -> dict[str, Any]:
+        """Executes a command in the stand-ins and returns its result.
+
+        Raises ProcessError if the process has ended.
+        """
         assert self.process.stdin is not None and self.process.stdout is not None
-        self.process.stdin.write(json.dumps({"do": do, **fields}).encode() + b"\n")
+        self.process.stdin.write(json.dumps({"do": name, **fields}).encode() + b"\n")
         line = await self.process.stdout.readline()
         if not line:
-            raise ProcessError("the stand-ins have ended")
+            raise ProcessError("the process of the stand-ins has ended")
         return json.loads(line)
 
 
 @contextlib.asynccontextmanager
 async def running_stand_ins() -> AsyncIterator[StandInProcess]:
-    """Starts the stand-ins."""
+    """Starts the stand-ins and terminates them at the end of the block; raises ProcessError."""
     pipe = asyncio.subprocess.PIPE
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -91,7 +108,7 @@
         cwd=ROOT,
         stdin=pipe,
         stdout=pipe,
-        limit=LONGEST_ANSWER,
+        limit=MAX_LINE_BYTES,
     )
     try:
         assert process.stdout is not None
@@ -104,9 +121,11 @@
 
 
 class GatewayProcess:
-    """One real gateway.
+    """The process of a real gateway.
 
     Attributes:
+        port: port on 127.0.0.1 at which it listens.
+        config: path of its configuration file.
         ready_after: seconds from its start until it answered PING with PONG.
     """
 
@@ -115,44 +134,50 @@
         self.ready_after = 0.0
 
     def usage(self) -> ProcessUsage:
-        """What it has taken so far."""
+        """Returns its resource usage so far; raises ProcessError if it has ended."""
         return process_usage(self.process.pid)
 
-    def hang_up(self) -> None:
-        """Sends SIGHUP: the configuration is read again."""
+    def send_sighup(self) -> None:
+        """Sends SIGHUP, after which the gateway reads its configuration again."""
         self.process.send_signal(signal.SIGHUP)
 
-    async def wait_until_ready(self, began: float) -> None:
-        """Raises ProcessError if it ends or takes too long."""
-        while time.monotonic() - began < READY_TIMEOUT:
+    async def wait_until_ready(self, started_at: float) -> None:
+        """Waits until the gateway answers PING.
+
+        Raises ProcessError if it ends or is not ready READY_TIMEOUT seconds after `started_at` (a monotonic
+        time).
+        """
+        while time.monotonic() - started_at < READY_TIMEOUT:
             if self.process.returncode is not None:
                 raise ProcessError(f"the gateway ended with {self.process.returncode}")
             if await answers_ping(self.port, READY_TIMEOUT):
-                self.ready_after = time.monotonic() - began
+                self.ready_after = time.monotonic() - started_at
                 return
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(READY_POLL_INTERVAL)
         raise ProcessError(f"the gateway was not ready within {READY_TIMEOUT:g} s")
 
 
-async def answers_ping(port: int, within: float) -> bool:
-    """Whether a gateway at this port answers PING with PONG within so many seconds."""
+async def answers_ping(port: int, timeout: float) -> bool:
+    """Returns whether a gateway at this port answers PING with PONG within `timeout` seconds."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
         return False
     try:
         writer.write(PING)
-        return await asyncio.wait_for(reader.readline(), within) == PONG
+        return await asyncio.wait_for(reader.readline(), timeout) == PONG
     except (OSError, TimeoutError):
         return False
     finally:
         writer.close()
 
 
-def configuration(deployment: Deployment, port: int, ports: dict[str, int], known: int) -> dict[str, Any]:
-    """What a gateway is told at its start, with so many servers known."""
+def configuration(
+    deployment: Deployment, port: int, ports: dict[str, int], known_servers: int
+) -> dict[str, Any]:
+    """Returns the configuration of a gateway that already has `known_servers` servers in its list."""
     address = f"127.0.0.1:{ports['server']}"
-    entries = [deployment.discovery_entry(number, address) for number in range(known)]
+    entries = [deployment.discovery_entry(number, address) for number in range(known_servers)]
     return {
         "name": "gateway-0",
         "listen": f"127.0.0.1:{port}",
@@ -160,43 +185,50 @@
         "counter": f"127.0.0.1:{ports['counter']}",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
-        "known": {"version": 1 if known else 0, "full": True, "servers": entries},
+        "known": {"version": 1 if known_servers else 0, "full": True, "servers": entries},
         "settings": deployment.settings_tree(0),
     }
 
 
 def free_port() -> int:
-    """A port of 127.0.0.1 that nobody listens on now."""
+    """Returns a port of 127.0.0.1 at which no socket listens now."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()[1]
 
 
 def gateway_command() -> list[str]:
-    """How deploy/balancer.toml runs a gateway, with the interpreter that runs the emulator."""
+    """Returns the command of deploy/balancer.toml, with the interpreter that runs the emulator."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    words = run.removeprefix("exec ").split()
-    return [sys.executable, *words[1:]]
+    arguments = run.removeprefix("exec ").split()
+    return [sys.executable, *arguments[1:]]
 
 
 @contextlib.asynccontextmanager
 async def running_gateway(
-    deployment: Deployment, ports: dict[str, int], known: int = 0
+    deployment: Deployment, ports: dict[str, int], known_servers: int = 0
 ) -> AsyncIterator[GatewayProcess]:
-    """Starts a real gateway and waits until it is ready; raises ProcessError if it is not."""
+    """Starts a real gateway, waits until it is ready, and terminates it at the end of the block.
+
+    Raises ProcessError if it does not become ready.
+    """
     with tempfile.TemporaryDirectory(prefix="emulator-") as folder:
         config, port = Path(folder) / "config.json", free_port()
-        config.write_text(json.dumps(configuration(deployment, port, ports, known)))
-        env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
+        config.write_text(json.dumps(configuration(deployment, port, ports, known_servers)))
+        environment = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
         log = (Path(folder) / "log").open("wb")
-        began = time.monotonic()
+        started_at = time.monotonic()
         process = await asyncio.create_subprocess_exec(
-            *gateway_command(), cwd=ROOT, env={**env, "RELAY_CONFIG": str(config)}, stdout=log, stderr=log
+            *gateway_command(),
+            cwd=ROOT,
+            env={**environment, "RELAY_CONFIG": str(config)},
+            stdout=log,
+            stderr=log,
         )
-        started = GatewayProcess(process, port, config)
+        gateway = GatewayProcess(process, port, config)
         try:
-            await started.wait_until_ready(began)
-            yield started
+            await gateway.wait_until_ready(started_at)
+            yield gateway
         finally:
             await terminate(process)
             log.close()
--- a/emulator/scenarios/real.py
+++ b/emulator/scenarios/real.py
@@ -8,7 +8,7 @@
 import uvloop
 
 from emulator.deployment import GATEWAYS_AT_TARGET, SERVERS_AT_TARGET, Deployment, PlanQuota
-from emulator.real.load import PERCENTILES, Latencies, ask_steadily
+from emulator.real.load import PERCENTILES, Latencies, send_at_constant_rate
 from emulator.real.processes import (
     GatewayProcess,
     ProcessError,
@@ -18,189 +18,217 @@
 )
 from emulator.scenarios.base import Options, Row, Scenario, geometric_sizes
 
-PLAN = PlanQuota("standard", rate=1000.0, burst=4000.0)  # no request is refused for its quota
-RATE, SECONDS, CONNECTIONS = 200.0, 10.0, 16  # requests a second; of each measurement; clients' connections
-CHANGES, CHANGE_EVERY = 200, 0.02  # changes told and the seconds between them
-IDLE_SECONDS = 5.0
-SETTLE = 0.3  # seconds after which what was told has been taken up
-KILOBYTES = 1024
+PLAN = PlanQuota("standard", rate=1000.0, burst=4000.0)  # large enough that no request is over quota
+REQUEST_RATE = 200.0  # requests per second
+MEASURE_SECONDS = 10.0  # duration of each measurement of latency
+CONNECTIONS = 16  # client connections of each measurement of latency
+CHANGES = 200  # changes of the server list in a measurement
+CHANGE_INTERVAL = 0.02  # seconds between two changes
+IDLE_SECONDS = 5.0  # duration of the measurement without requests and changes
+SETTLE_SECONDS = 0.3  # time in which a gateway processes what it has received
+KILOBYTES_PER_MEGABYTE = 1024
 
 
-def deployment(options: Options, servers: int) -> Deployment:
-    """The target's gateways before so many servers."""
+def make_deployment(options: Options, servers: int) -> Deployment:
+    """Returns a deployment with this number of servers and the gateways of the options or the target."""
     return Deployment(options.gateways or GATEWAYS_AT_TARGET, servers, plans=(PLAN,))
 
 
+# Measures a running gateway and its stand-ins, and returns the columns of the result.
 Measure = Callable[[GatewayProcess, StandInProcess], Awaitable[Row]]
 
 
-async def with_gateway(shape: Deployment, known: int, measure: Measure) -> Row:
-    """Starts stand-ins and one gateway, and gives what is measured while they run."""
-    async with running_stand_ins() as others:
-        await others.command("list", gateways=shape.gateways, servers=shape.servers)
-        async with running_gateway(shape, others.ports, known) as started:
-            return await measure(started, others)
+async def measure_gateway(deployment: Deployment, known_servers: int, measure: Measure) -> Row:
+    """Starts the stand-ins and one gateway, and returns the result of `measure`, which runs meanwhile."""
+    async with running_stand_ins() as stand_ins:
+        await stand_ins.command("list", gateways=deployment.gateways, servers=deployment.servers)
+        async with running_gateway(deployment, stand_ins.ports, known_servers) as gateway:
+            return await measure(gateway, stand_ins)
 
 
-async def rows_by_servers(options: Options, sizes: list[int], measure: Measure, known: bool) -> list[Row]:
-    """Measures before lists of several sizes, which the gateway has known from its start or not. One that
-    never is ready has a row that says so."""
+async def rows_by_servers(
+    options: Options, sizes: list[int], measure: Measure, servers_known: bool
+) -> list[Row]:
+    """Measures a gateway with server lists of several lengths.
+
+    With `servers_known`, its configuration already holds the list. A gateway that does not become ready gets
+    a row with only the columns `servers` and `never_ready`.
+    """
     rows: list[Row] = []
-    for done, servers in enumerate(sizes):
-        options.progress(f"{servers} servers", done / len(sizes))
+    for step, servers in enumerate(sizes):
+        options.progress(f"{servers} servers", step / len(sizes))
         try:
-            row = await with_gateway(deployment(options, servers), servers if known else 0, measure)
+            row = await measure_gateway(
+                make_deployment(options, servers), servers if servers_known else 0, measure
+            )
         except ProcessError:
             row = {"never_ready": True}
         rows.append({"servers": servers, "never_ready": False} | row)
     return rows
 
 
-async def list_cost(started: GatewayProcess, others: StandInProcess) -> Row:
-    """A start from discovery's list, then quiet seconds, then one change after another."""
-    await asyncio.sleep(SETTLE)
-    at_start, asked = started.usage(), await others.command("tally")
+async def measure_list_cost(gateway: GatewayProcess, stand_ins: StandInProcess) -> Row:
+    """Measures a start with the list from discovery, then idle seconds, then a series of changes."""
+    await asyncio.sleep(SETTLE_SECONDS)
+    at_start, tally_at_start = gateway.usage(), await stand_ins.command("tally")
     await asyncio.sleep(IDLE_SECONDS)
-    quiet, asked_quiet = started.usage(), await others.command("tally")
-    await others.command("changes", count=CHANGES, first=0, every=CHANGE_EVERY)
-    await asyncio.sleep(SETTLE)
-    changed = started.usage()
-    changing = changed.cpu - quiet.cpu - (quiet.cpu - at_start.cpu) / IDLE_SECONDS * CHANGES * CHANGE_EVERY
+    after_idle, tally_after_idle = gateway.usage(), await stand_ins.command("tally")
+    await stand_ins.command("changes", count=CHANGES, first=0, every=CHANGE_INTERVAL)
+    await asyncio.sleep(SETTLE_SECONDS)
+    after_changes = gateway.usage()
+    change_cpu = (
+        after_changes.cpu_seconds
+        - after_idle.cpu_seconds
+        - (after_idle.cpu_seconds - at_start.cpu_seconds) / IDLE_SECONDS * CHANGES * CHANGE_INTERVAL
+    )
     return {
-        "ready_after_s": started.ready_after,
-        "start_cpu_s": at_start.cpu,
-        "peak_mb": changed.peak / KILOBYTES,
-        "resident_mb": at_start.resident / KILOBYTES,
-        "whole_lists_at_start": asked["whole_lists"],
-        "idle_cpu_part": (quiet.cpu - at_start.cpu) / IDLE_SECONDS,
-        "idle_bytes_per_s": (asked_quiet["discovery_bytes"] - asked["discovery_bytes"]) / IDLE_SECONDS,
-        "change_cpu_ms": 1000 * changing / CHANGES,
+        "ready_after_s": gateway.ready_after,
+        "start_cpu_s": at_start.cpu_seconds,
+        "peak_mb": after_changes.peak_kb / KILOBYTES_PER_MEGABYTE,
+        "resident_mb": at_start.resident_kb / KILOBYTES_PER_MEGABYTE,
+        "whole_lists_at_start": tally_at_start["whole_lists"],
+        "idle_cpu_part": (after_idle.cpu_seconds - at_start.cpu_seconds) / IDLE_SECONDS,
+        "idle_bytes_per_s": (tally_after_idle["discovery_bytes"] - tally_at_start["discovery_bytes"])
+        / IDLE_SECONDS,
+        "change_cpu_ms": 1000 * change_cpu / CHANGES,
     }
 
 
 async def membership_rows(options: Options) -> list[Row]:
-    """A gateway that knows no servers, before lists of several sizes."""
+    """Measures gateways that have no server list at their start, with lists of several lengths."""
     sizes = geometric_sizes(options.servers or SERVERS_AT_TARGET, steps=4, factor=4.7)
-    return await rows_by_servers(options, sizes, list_cost, known=False)
+    return await rows_by_servers(options, sizes, measure_list_cost, servers_known=False)
 
 
-def added(through: Latencies, direct: Latencies) -> Row:
-    """What the gateway adds to a request, at several percentiles."""
+def added_latency(through: Latencies, direct: Latencies) -> Row:
+    """Returns the latency that the gateway adds to a request, at several percentiles."""
     row: Row = {}
     for name, percentile in PERCENTILES.items():
-        row[f"direct_{name}_ms"] = direct.at(percentile) / 1000
-        row[f"through_{name}_ms"] = through.at(percentile) / 1000
+        row[f"direct_{name}_ms"] = direct.at_percentile(percentile) / 1000
+        row[f"through_{name}_ms"] = through.at_percentile(percentile) / 1000
         row[f"added_{name}_ms"] = row[f"through_{name}_ms"] - row[f"direct_{name}_ms"]
     return row
 
 
 async def latency_rows(options: Options) -> list[Row]:
-    """Requests through a gateway against the same asked directly, first quiet, then with a change of the list
-    each second fifty."""
+    """Compares requests through a gateway with the same requests sent directly to a server.
+
+    The requests through the gateway are measured without changes of the server list, and with one change per
+    second.
+    """
     sizes = [200, options.servers or SERVERS_AT_TARGET]
 
-    async def measure(started: GatewayProcess, others: StandInProcess) -> Row:
-        direct = await ask_steadily(others.ports["server"], RATE, SECONDS, CONNECTIONS, PLAN.name)
-        before = started.usage()
-        through = await ask_steadily(started.port, RATE, SECONDS, CONNECTIONS, PLAN.name)
-        cpu = started.usage().cpu - before.cpu
-        changing = asyncio.ensure_future(
-            others.command("changes", count=int(SECONDS), first=0, every=1.0),
+    async def measure(gateway: GatewayProcess, stand_ins: StandInProcess) -> Row:
+        direct = await send_at_constant_rate(
+            stand_ins.ports["server"], REQUEST_RATE, MEASURE_SECONDS, CONNECTIONS, PLAN.name
+        )
+        before = gateway.usage()
+        through = await send_at_constant_rate(
+            gateway.port, REQUEST_RATE, MEASURE_SECONDS, CONNECTIONS, PLAN.name
         )
-        under_change = await ask_steadily(started.port, RATE, SECONDS, CONNECTIONS, PLAN.name)
-        await changing
+        cpu_seconds = gateway.usage().cpu_seconds - before.cpu_seconds
+        changes = asyncio.ensure_future(
+            stand_ins.command("changes", count=int(MEASURE_SECONDS), first=0, every=1.0),
+        )
+        under_change = await send_at_constant_rate(
+            gateway.port, REQUEST_RATE, MEASURE_SECONDS, CONNECTIONS, PLAN.name
+        )
+        await changes
         return {
-            **added(through, direct),
-            "changing_p99_ms": under_change.at(99.0) / 1000,
-            "changing_p99_9_ms": under_change.at(99.9) / 1000,
-            "cpu_us_per_request": 1e6 * cpu / (RATE * SECONDS),
+            **added_latency(through, direct),
+            "changing_p99_ms": under_change.at_percentile(99.0) / 1000,
+            "changing_p99_9_ms": under_change.at_percentile(99.9) / 1000,
+            "cpu_us_per_request": 1e6 * cpu_seconds / (REQUEST_RATE * MEASURE_SECONDS),
             "not_served": direct.not_served + through.not_served + under_change.not_served,
         }
 
-    return await rows_by_servers(options, sizes, measure, known=True)
+    return await rows_by_servers(options, sizes, measure, servers_known=True)
 
 
 async def connection_rows(options: Options) -> list[Row]:
-    """Memory of idle clients' connections."""
+    """Measures the memory of idle client connections."""
     rows: list[Row] = []
     sizes = geometric_sizes(1000, steps=4, factor=3.0)
 
-    async def measure(started: GatewayProcess, others: StandInProcess) -> Row:
-        before, writers = started.usage(), []
+    async def measure(gateway: GatewayProcess, stand_ins: StandInProcess) -> Row:
+        before, writers = gateway.usage(), []
         for _ in range(connections):
-            _, writer = await asyncio.open_connection("127.0.0.1", started.port)
+            _, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
             writers.append(writer)
-        await asyncio.sleep(SETTLE)
-        grown = started.usage().resident - before.resident
+        await asyncio.sleep(SETTLE_SECONDS)
+        growth = gateway.usage().resident_kb - before.resident_kb
         for writer in writers:
             writer.close()
-        return {"connections": connections, "resident_kb": grown}
+        return {"connections": connections, "resident_kb": growth}
 
-    for done, connections in enumerate(sizes):
-        options.progress(f"{connections} connections", done / len(sizes))
-        rows.append(await with_gateway(deployment(options, options.servers or 64), 64, measure))
+    for step, connections in enumerate(sizes):
+        options.progress(f"{connections} connections", step / len(sizes))
+        rows.append(await measure_gateway(make_deployment(options, options.servers or 64), 64, measure))
     return rows
 
 
 async def reload_rows(options: Options) -> list[Row]:
-    """SIGHUP with a configuration that holds lists of several sizes: CPU, and lists asked of discovery."""
+    """Measures SIGHUP with configurations that hold server lists of several lengths.
+
+    The rows hold the CPU time, and the full lists requested from discovery, of one reload.
+    """
     sizes = geometric_sizes(options.servers or SERVERS_AT_TARGET, steps=4, factor=4.7)
-    hangups = 5
+    reloads = 5
 
-    async def measure(started: GatewayProcess, others: StandInProcess) -> Row:
-        await asyncio.sleep(SETTLE)
-        before, asked = started.usage(), await others.command("tally")
-        for _ in range(hangups):
-            started.hang_up()
+    async def measure(gateway: GatewayProcess, stand_ins: StandInProcess) -> Row:
+        await asyncio.sleep(SETTLE_SECONDS)
+        before, tally_before = gateway.usage(), await stand_ins.command("tally")
+        for _ in range(reloads):
+            gateway.send_sighup()
             await asyncio.sleep(1.0)
-        after, asked_after = started.usage(), await others.command("tally")
+        after, tally_after = gateway.usage(), await stand_ins.command("tally")
         return {
-            "config_bytes": started.config.stat().st_size,
-            "reload_cpu_ms": 1000 * (after.cpu - before.cpu) / hangups,
-            "whole_lists_per_reload": (asked_after["whole_lists"] - asked["whole_lists"]) / hangups,
+            "config_bytes": gateway.config.stat().st_size,
+            "reload_cpu_ms": 1000 * (after.cpu_seconds - before.cpu_seconds) / reloads,
+            "whole_lists_per_reload": (tally_after["whole_lists"] - tally_before["whole_lists"]) / reloads,
         }
 
-    return await rows_by_servers(options, sizes, measure, known=True)
+    return await rows_by_servers(options, sizes, measure, servers_known=True)
 
 
-def on_loop(rows: Callable[[Options], Awaitable[list[Row]]]) -> Callable[[Options], list[Row]]:
-    """A scenario's coroutine as its `run`."""
+def run_on_uvloop(rows: Callable[[Options], Awaitable[list[Row]]]) -> Callable[[Options], list[Row]]:
+    """Wraps a coroutine function of a scenario for its attribute `run`."""
 
-    async def whole(options: Options) -> list[Row]:
+    async def run_rows(options: Options) -> list[Row]:
         return await rows(options)
 
-    return lambda options: uvloop.run(whole(options))
+    return lambda options: uvloop.run(run_rows(options))
 
 
 SCENARIOS = (
     Scenario(
         "real-membership",
         "real",
-        "a real gateway before lists of several sizes: readiness, memory, CPU of a start and of one change",
-        on_loop(membership_rows),
+        "a real gateway with server lists of several lengths: readiness, memory, CPU of a start and a change",
+        run_on_uvloop(membership_rows),
         ("servers", "never_ready"),
         (("start_cpu_s", "servers"), ("peak_mb", "servers"), ("change_cpu_ms", "servers")),
     ),
     Scenario(
         "real-latency",
         "real",
-        "what a real gateway adds to a request with few and with many servers listed, and its CPU",
-        on_loop(latency_rows),
+        "latency that a real gateway adds to a request, and its CPU, with few and with many servers",
+        run_on_uvloop(latency_rows),
         ("servers", "never_ready", "not_served"),
     ),
     Scenario(
         "real-connections",
         "real",
         "memory of a real gateway for each client connection",
-        on_loop(connection_rows),
+        run_on_uvloop(connection_rows),
         ("connections",),
         (("resident_kb", "connections"),),
     ),
     Scenario(
         "real-reload",
         "real",
-        "what a real gateway spends on SIGHUP with configurations of several sizes",
-        on_loop(reload_rows),
+        "CPU of a real gateway for SIGHUP, with configurations of several sizes",
+        run_on_uvloop(reload_rows),
         ("servers", "never_ready", "config_bytes"),
         (("reload_cpu_ms", "servers"),),
     ),
--- a/emulator/soak/fleet.py
+++ b/emulator/soak/fleet.py
@@ -166,5 +166,5 @@
                 self.note_end(life, process)
             return
         with contextlib.suppress(ProcessError, OSError):
-            life.resident_kb.append((time.monotonic(), process_usage(process.pid).resident))
+            life.resident_kb.append((time.monotonic(), process_usage(process.pid).resident_kb))
             life.descriptors.append(len(os.listdir(f"/proc/{process.pid}/fd")))
--- a/tests/test_emulator_real.py
+++ b/tests/test_emulator_real.py
@@ -13,7 +13,7 @@
 
 from emulator.deployment import Deployment, PlanQuota
 from emulator.real import processes
-from emulator.real.load import ask_steadily
+from emulator.real.load import send_at_constant_rate
 from emulator.real.processes import ProcessError, process_usage, running_gateway, running_stand_ins
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -32,10 +32,10 @@
     async with running_stand_ins() as others:
         assert (await others.command("list", gateways=4, servers=20))["bytes"] > 1000
         async with running_gateway(shape, others.ports) as started:
-            latencies = await ask_steadily(started.port, 100.0, 0.5, 4, "standard", tenants=5)
+            latencies = await send_at_constant_rate(started.port, 100.0, 0.5, 4, "standard", tenants=5)
             tally = await others.command("tally")
             pid = started.process.pid
-            assert process_usage(pid).peak >= process_usage(pid).resident > 0
+            assert process_usage(pid).peak_kb >= process_usage(pid).resident_kb > 0
         with pytest.raises(ProcessError):
             process_usage(pid)
         other = others.process.pid
