--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,3 +1,5 @@
+"""Quotas over gateways: leases, counter failures, debt, ceilings and limits, admission without a lease."""
+
 import random
 
 import pytest
@@ -6,461 +8,499 @@
 from calicomast import interface as api
 
 
-def served(w, tries, **kw):
-    n = 0
-    for _ in range(tries):
-        _, acts = w.send_request(**kw)
-        for s in actions_of(acts, api.Send):
-            n += 1
-            w.finish_attempt(s)
-    return n
+def count_served(harness, requests, **request):
+    """Asks so many times, answers every attempt at once, and returns the number of attempts."""
+    served = 0
+    for _ in range(requests):
+        _, actions = harness.send_request(**request)
+        for send in actions_of(actions, api.Send):
+            served += 1
+            harness.finish_attempt(send)
+    return served
 
 
-def test_light_customer_makes_no_call():
-    w = GatewayHarness()
-    assert served(w, 1) == 1
-    assert not [a for _, a in w.action_log if isinstance(a, api.AddToCounter)]
+def test_tenant_with_low_demand_causes_no_counter_call():
+    harness = GatewayHarness()
+    assert count_served(harness, 1) == 1
+    assert not [action for _, action in harness.action_log if isinstance(action, api.AddToCounter)]
 
 
-def test_lease_is_added_and_quota_is_held():
-    w = GatewayHarness()
-    n = served(w, 40)
-    assert 8 <= n <= 16  # the burst, and what the part of the window that has passed has refilled
-    assert [a for _, a in w.action_log if isinstance(a, api.AddToCounter)]
-    assert max(w.counter_totals.values()) <= 16
+def test_leases_are_counted_and_the_quota_holds():
+    harness = GatewayHarness()
+    served = count_served(harness, 40)
+    assert 8 <= served <= 16  # the burst, and the refill in the part of the window that has passed
+    assert [action for _, action in harness.action_log if isinstance(action, api.AddToCounter)]
+    assert max(harness.counter_totals.values()) <= 16
 
 
-def test_full_window_refuses_at_once_without_calls():
-    w = GatewayHarness()
-    served(w, 40)
-    before = len([a for _, a in w.action_log if isinstance(a, api.AddToCounter)])
-    name, acts = w.send_request()
-    assert actions_of(acts, api.Refuse) and len(actions_of(acts, api.AddToCounter)) == 0 and before
+def test_exhausted_window_refuses_at_once_without_a_call():
+    harness = GatewayHarness()
+    count_served(harness, 40)
+    before = len([action for _, action in harness.action_log if isinstance(action, api.AddToCounter)])
+    _, actions = harness.send_request()
+    assert actions_of(actions, api.Refuse) and len(actions_of(actions, api.AddToCounter)) == 0 and before
 
 
-def test_two_bursts_do_not_pass_back_to_back_at_a_turn():
-    w = GatewayHarness()
-    total = 0
-    start = w.now
-    while w.now < start + 12:
-        total += served(w, 2)
-        w.advance(0.1)
-    assert total <= 8 + 2 * (w.now - start) + 4
+def test_no_two_bursts_are_admitted_across_a_window_change():
+    harness = GatewayHarness()
+    served = 0
+    start = harness.now
+    while harness.now < start + 12:
+        served += count_served(harness, 2)
+        harness.advance(0.1)
+    assert served <= 8 + 2 * (harness.now - start) + 4
 
 
-def test_excess_is_taken_back():
-    w = GatewayHarness()
-    w.counter_mode = "hold"
+def test_excess_of_a_lease_is_returned_to_the_counter():
+    harness = GatewayHarness()
+    harness.counter_mode = "hold"
     calls, sends = [], True
-    while sends:  # the last request waits for the call that is out
-        _, acts = w.send_request()
-        calls, sends = calls + actions_of(acts, api.AddToCounter), actions_of(acts, api.Send)
+    while sends:  # the last request waits for the outstanding call
+        _, actions = harness.send_request()
+        calls, sends = calls + actions_of(actions, api.AddToCounter), actions_of(actions, api.Send)
     call = calls[0]
-    acts = w.handle(api.CounterResult(call.name, "ok", 40, 0.002))  # others have filled the window meanwhile
-    assert [c for c in actions_of(acts, api.AddToCounter) if c.amount < 0 and c.name == call.name]
-    assert not actions_of(acts, api.Send) and actions_of(acts, api.Refuse)
+    # Other gateways have used up the quota.
+    actions = harness.handle(api.CounterResult(call.name, "ok", 40, 0.002))
+    assert [
+        each for each in actions_of(actions, api.AddToCounter) if each.amount < 0 and each.name == call.name
+    ]
+    assert not actions_of(actions, api.Send) and actions_of(actions, api.Refuse)
 
 
-def test_timed_out_add_gives_no_units_and_request_is_settled_soon():
-    w = GatewayHarness()
-    w.counter_mode = "silent"
-    start = w.now
-    n = served(w, 60)
-    assert n <= 8 / 2 + 2 * (w.now - start) + 4  # the even share, never a lease
-    assert all(not j.stage == "units" for j in w.gateway.requests.values())
-    assert w.gateway.tenant_quotas["c"].lease == 0
+def test_timed_out_call_grants_no_units_and_leaves_no_request_waiting():
+    harness = GatewayHarness()
+    harness.counter_mode = "silent"
+    start = harness.now
+    served = count_served(harness, 60)
+    assert served <= 8 / 2 + 2 * (harness.now - start) + 4  # the even share, never a lease
+    assert all(not pending.stage == "units" for pending in harness.gateway.requests.values())
+    assert harness.gateway.tenant_quotas["c"].lease == 0
 
 
-def test_silent_counter_calls_back_off():
-    w = GatewayHarness()
-    w.counter_mode = "silent"
+def test_calls_back_off_while_the_counter_does_not_answer():
+    harness = GatewayHarness()
+    harness.counter_mode = "silent"
     for _ in range(200):
-        w.send_request()
-        w.advance(0.02)
-    assert len([a for _, a in w.action_log if isinstance(a, api.AddToCounter)]) < 20
+        harness.send_request()
+        harness.advance(0.02)
+    assert len([action for _, action in harness.action_log if isinstance(action, api.AddToCounter)]) < 20
 
 
-def test_lost_counts_are_added_again():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=20.0)]))
-    served(w, 12)
-    name = max(w.counter_totals, key=lambda k: w.counter_totals[k])
-    ours = w.counter_totals[name]
-    assert ours > 3
-    w.counter_totals.clear()
-    served(w, 3)
-    assert w.counter_totals[name] >= ours
+def test_counts_lost_by_the_counter_are_added_again():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=20.0)]))
+    count_served(harness, 12)
+    name = max(harness.counter_totals, key=lambda each: harness.counter_totals[each])
+    added = harness.counter_totals[name]
+    assert added > 3
+    harness.counter_totals.clear()
+    count_served(harness, 3)
+    assert harness.counter_totals[name] >= added
 
 
-def test_refused_call_keeps_the_charge_owed():
-    w = GatewayHarness()
-    w.counter_mode = "refuse"
-    n = served(w, 30)
-    w.counter_mode = "answer"
-    w.advance(1.2)
-    served(w, 3)
-    assert max(w.counter_totals.values()) >= n
+def test_charge_of_a_rejected_call_stays_due():
+    harness = GatewayHarness()
+    harness.counter_mode = "refuse"
+    served = count_served(harness, 30)
+    harness.counter_mode = "answer"
+    harness.advance(1.2)
+    count_served(harness, 3)
+    assert max(harness.counter_totals.values()) >= served
 
 
 def test_ceiling_holds_at_start_and_without_counter():
-    p = make_plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0)
+    plan_with_ceiling = make_plan(
+        rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0
+    )
     for mode in ("answer", "silent", "refuse"):
-        w = GatewayHarness(make_settings(plans=[p]))
-        w.counter_mode = mode
-        start, n = w.now, 0
-        while w.now < start + 3:
-            n += served(w, 4)
-            w.advance(0.05)
-            # half of the ceiling's rate: two gateways share the customer, and nothing is there at the start
-            assert n <= 5.0 * (w.now - start) + 1
-
-
-def test_open_limit_is_held_over_gateways_by_the_counter():
-    p = make_plan(rate=50.0, burst=100.0, concurrency_limit=2)
-    a = GatewayHarness(make_settings(plans=[p]))
-    b = GatewayHarness(make_settings(plans=[p], index=1), seed=2)
-    b.counter_totals = a.counter_totals
+        harness = GatewayHarness(make_settings(plans=[plan_with_ceiling]))
+        harness.counter_mode = mode
+        start, served = harness.now, 0
+        while harness.now < start + 3:
+            served += count_served(harness, 4)
+            harness.advance(0.05)
+            # Half of the ceiling's rate, since two gateways share the tenant; the ceiling starts empty.
+            assert served <= 5.0 * (harness.now - start) + 1
+
+
+def test_concurrency_limit_holds_over_gateways():
+    limited = make_plan(rate=50.0, burst=100.0, concurrency_limit=2)
+    first = GatewayHarness(make_settings(plans=[limited]))
+    second = GatewayHarness(make_settings(plans=[limited], index=1), seed=2)
+    second.counter_totals = first.counter_totals
     sends = []
     for _ in range(3):
-        for w in (a, b):
-            sends += [(w, s) for s in actions_of(w.send_request()[1], api.Send)]
+        for harness in (first, second):
+            sends += [(harness, send) for send in actions_of(harness.send_request()[1], api.Send)]
     assert len(sends) == 2
-    w, s = sends[0]
-    w.finish_attempt(s)
-    assert len(actions_of(w.send_request()[1], api.Send)) == 1
+    harness, send = sends[0]
+    harness.finish_attempt(send)
+    assert len(actions_of(harness.send_request()[1], api.Send)) == 1
 
 
-def test_beyond_quota_only_where_it_earns():
-    w = GatewayHarness(make_settings(plans=[make_plan(over_quota_value=0.3, over_quota_cost=0.0)]))
-    assert served(w, 40) == 40
-    w = GatewayHarness(make_settings(plans=[make_plan(over_quota_value=0.3, over_quota_cost=0.5)]))
-    assert served(w, 40) < 40
+def test_over_quota_requests_are_admitted_only_if_the_plan_earns_by_it():
+    harness = GatewayHarness(make_settings(plans=[make_plan(over_quota_value=0.3, over_quota_cost=0.0)]))
+    assert count_served(harness, 40) == 40
+    harness = GatewayHarness(make_settings(plans=[make_plan(over_quota_value=0.3, over_quota_cost=0.5)]))
+    assert count_served(harness, 40) < 40
 
 
-def test_without_counter_the_even_share_is_granted():
-    w = GatewayHarness(make_settings(counter=False))
-    n = served(w, 40)
-    assert 4 <= n <= 8 and not [a for _, a in w.action_log if isinstance(a, api.AddToCounter)]
+def test_even_share_is_admitted_if_there_is_no_counter():
+    harness = GatewayHarness(make_settings(counter=False))
+    served = count_served(harness, 40)
+    assert 4 <= served <= 8 and not [
+        action for _, action in harness.action_log if isinstance(action, api.AddToCounter)
+    ]
 
 
-def test_plan_without_a_rate_needs_only_open_slots():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=0.0, burst=0.0, concurrency_limit=3)]))
-    assert served(w, 30) == 30
+def test_plan_without_a_rate_needs_only_concurrency_slots():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.0, burst=0.0, concurrency_limit=3)]))
+    assert count_served(harness, 30) == 30
 
 
-def test_settled_units_are_charged():
-    w = GatewayHarness(make_settings(settles_actual_units=True))
-    _, acts = w.send_request()
-    s = actions_of(acts, api.Send)[0]
-    w.finish_attempt(s, actual_units=6)
-    assert served(w, 40) < 11
+def test_actual_units_of_a_request_are_charged():
+    harness = GatewayHarness(make_settings(settles_actual_units=True))
+    _, actions = harness.send_request()
+    send = actions_of(actions, api.Send)[0]
+    harness.finish_attempt(send, actual_units=6)
+    assert count_served(harness, 40) < 11
 
 
-def test_a_quiet_time_does_not_save_up_more_than_the_burst():
-    w = GatewayHarness()
-    acct_len = 4.0
-    w.send_request()
-    phase = w.gateway.tenant_quotas["c"].window_start
-    w.now = phase + 2 * acct_len - 0.5  # late in a window that nothing was drawn in
-    n = served(w, 60)
-    assert n <= 8 + 4 + 1  # the burst, and what its even part passed uncharged
+def test_idle_tenant_saves_up_at_most_one_burst():
+    harness = GatewayHarness()
+    window_length = 4.0
+    harness.send_request()
+    window_start = harness.gateway.tenant_quotas["c"].window_start
+    harness.now = window_start + 2 * window_length - 0.5  # late in a window without any use
+    served = count_served(harness, 60)
+    assert served <= 8 + 4 + 1  # the burst, and what the local allowance admits without a charge
 
 
-def test_debt_is_brought_along_once():
-    a, b = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)])), None
-    b = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)], index=1), seed=2)
-    b.counter_totals = a.counter_totals
+def test_overdraft_is_carried_into_the_next_window_once():
+    first, second = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)])), None
+    second = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)], index=1), seed=2)
+    second.counter_totals = first.counter_totals
     start = 0.0
-    for turn in range(6):
-        for w in (a, b):
-            w.now = max(a.now, b.now)
-            served(w, 60)
-        start = a.gateway.tenant_quotas["c"].window_start
-        a.now = b.now = start + 4.0 + 0.001
-        assert max(a.counter_totals.values()) <= 40 + 10 * 4 + 3, turn  # never more owed than was drawn
-
-
-def test_even_part_of_the_open_limit_needs_no_call():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=4)]))
-    acts = w.send_request()[1] + w.send_request()[1]
-    assert len(actions_of(acts, api.Send)) == 2 and not actions_of(acts, api.AddToCounter)
-    assert not actions_of(w.send_request()[1], api.Send)
-
-
-def test_small_burst_over_many_gateways_passes_light_customers_and_holds_busy_ones():
-    w = GatewayHarness(make_settings(gateways=10, plans=[make_plan(rate=0.8, burst=3.0)]))
-    for k in range(20):
-        _, acts = w.send_request(tenant=f"c{k}", spread=8)
-        assert actions_of(acts, api.Send)
-        assert (
-            len(actions_of(acts, api.AddToCounter)) <= 2
-        )  # the second writes off what the store has let run over
-        w.finish_attempt(actions_of(acts, api.Send)[0])
-    assert served(w, 30, tenant="c0", spread=8) <= 6
-
-
-def test_the_end_of_a_quota_is_kept_for_what_is_worth_most():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=40.0)]))
-    low = served(w, 100, service_class="read")
-    high = served(w, 100, service_class="write")
-    assert high >= 5  # nothing would be left without what was kept
+    for window in range(6):
+        for harness in (first, second):
+            harness.now = max(first.now, second.now)
+            count_served(harness, 60)
+        start = first.gateway.tenant_quotas["c"].window_start
+        first.now = second.now = start + 4.0 + 0.001
+        assert max(first.counter_totals.values()) <= 40 + 10 * 4 + 3, window  # no debt beyond what was used
+
+
+def test_even_share_of_the_concurrency_limit_needs_no_call():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=4)]))
+    actions = harness.send_request()[1] + harness.send_request()[1]
+    assert len(actions_of(actions, api.Send)) == 2 and not actions_of(actions, api.AddToCounter)
+    assert not actions_of(harness.send_request()[1], api.Send)
+
+
+def test_small_burst_over_many_gateways_admits_low_demand_and_bounds_high_demand():
+    harness = GatewayHarness(make_settings(gateways=10, plans=[make_plan(rate=0.8, burst=3.0)]))
+    for number in range(20):
+        _, actions = harness.send_request(tenant=f"c{number}", spread=8)
+        assert actions_of(actions, api.Send)
+        # The second call writes off units above the burst.
+        assert len(actions_of(actions, api.AddToCounter)) <= 2
+        harness.finish_attempt(actions_of(actions, api.Send)[0])
+    assert count_served(harness, 30, tenant="c0", spread=8) <= 6
+
+
+def test_end_of_a_quota_is_reserved_for_the_most_valuable_class():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=40.0)]))
+    low = count_served(harness, 100, service_class="read")
+    high = count_served(harness, 100, service_class="write")
+    assert high >= 5  # without the reserve nothing would be left
     assert low >= 25
 
 
-def test_ordinary_path_is_back_within_two_seconds_after_the_counter_was_silent():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
-    w.counter_mode = "silent"
+def test_leasing_resumes_within_two_seconds_after_the_counter_answers_again():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    harness.counter_mode = "silent"
     for _ in range(80):
-        for s in actions_of(w.send_request()[1], api.Send):
-            w.finish_attempt(s)
-        w.advance(0.02)
-    w.counter_mode, start = "answer", w.now
-    while w.now < start + 2:
-        for s in actions_of(w.send_request()[1], api.Send):
-            w.finish_attempt(s)
-        w.advance(0.04)
-    assert w.gateway.counter.fails == 0
-    assert [a for t, a in w.action_log if isinstance(a, api.AddToCounter) and t > start]
-
-
-def test_rest_of_the_open_limit_is_shared_by_a_count():
-    conf = [
-        make_settings(index=k, plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=3)]) for k in (0, 1)
+        for send in actions_of(harness.send_request()[1], api.Send):
+            harness.finish_attempt(send)
+        harness.advance(0.02)
+    harness.counter_mode, start = "answer", harness.now
+    while harness.now < start + 2:
+        for send in actions_of(harness.send_request()[1], api.Send):
+            harness.finish_attempt(send)
+        harness.advance(0.04)
+    assert harness.gateway.counter.failures == 0
+    assert [
+        action for at, action in harness.action_log if isinstance(action, api.AddToCounter) and at > start
+    ]
+
+
+def test_remainder_of_the_concurrency_limit_is_shared_by_a_count():
+    both = [
+        make_settings(index=index, plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=3)])
+        for index in (0, 1)
     ]
-    a, b = GatewayHarness(conf[0]), GatewayHarness(conf[1], seed=2)
-    b.counter_totals = a.counter_totals
-    assert sum(len(actions_of(w.send_request()[1], api.Send)) for _ in range(3) for w in (a, b)) == 3
+    first, second = GatewayHarness(both[0]), GatewayHarness(both[1], seed=2)
+    second.counter_totals = first.counter_totals
+    assert (
+        sum(
+            len(actions_of(harness.send_request()[1], api.Send))
+            for _ in range(3)
+            for harness in (first, second)
+        )
+        == 3
+    )
 
 
-def test_an_add_without_answer_leaves_the_requests_on_it_to_the_local_share():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=8.0)]))
-    w.counter_mode = "hold"
-    calls, n = [], 0
+def test_requests_waiting_for_a_timed_out_call_get_only_the_local_allowance():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=8.0)]))
+    harness.counter_mode = "hold"
+    calls, sent = [], 0
     for _ in range(12):
-        acts = w.send_request()[1]
-        calls, n = calls + actions_of(acts, api.AddToCounter), n + len(actions_of(acts, api.Send))
-    acts = w.handle(api.CounterResult(calls[0].name, "timeout", 0, 0.05))
-    assert w.gateway.tenant_quotas["c"].lease == 0 and n + len(actions_of(acts, api.Send)) <= 5
-    assert len(actions_of(acts, api.Refuse)) >= 3
-
-
-def test_what_a_quiet_half_lets_pass_too_much_is_taken_from_the_next_window():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=40.0)]))
-    w.send_request()
-    w.now = w.gateway.tenant_quotas["c"].window_start + 2 * 20.0 - 0.5
-    n, start = served(w, 120), w.now
-    assert n <= 80
-    w.now += 1.0
-    n += served(w, 120)
-    assert n <= 80 + 2 * (w.now - start) + 4
-
-
-def test_without_the_counter_many_gateways_pass_no_more_than_the_burst_of_a_customer():
-    for n in (1, 3, 200):
-        passed = 0
-        for k in range(n):
-            w = GatewayHarness(
-                make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateways=n, index=k), seed=k
+        actions = harness.send_request()[1]
+        calls, sent = calls + actions_of(actions, api.AddToCounter), sent + len(actions_of(actions, api.Send))
+    actions = harness.handle(api.CounterResult(calls[0].name, "timeout", 0, 0.05))
+    assert harness.gateway.tenant_quotas["c"].lease == 0 and sent + len(actions_of(actions, api.Send)) <= 5
+    assert len(actions_of(actions, api.Refuse)) >= 3
+
+
+def test_overdraft_after_an_idle_time_is_taken_from_the_next_window():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=40.0)]))
+    harness.send_request()
+    harness.now = harness.gateway.tenant_quotas["c"].window_start + 2 * 20.0 - 0.5
+    served, start = count_served(harness, 120), harness.now
+    assert served <= 80
+    harness.now += 1.0
+    served += count_served(harness, 120)
+    assert served <= 80 + 2 * (harness.now - start) + 4
+
+
+def test_gateways_without_an_answering_counter_admit_at_most_about_two_bursts():
+    for gateways in (1, 3, 200):
+        served = 0
+        for index in range(gateways):
+            harness = GatewayHarness(
+                make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateways=gateways, index=index),
+                seed=index,
             )
-            w.counter_mode = "silent"
-            passed += served(w, 3 if n > 10 else 40, spread=n)
-        assert passed <= 2.5 * 8, n  # two windows may be met
+            harness.counter_mode = "silent"
+            served += count_served(harness, 3 if gateways > 10 else 40, spread=gateways)
+        assert served <= 2.5 * 8, gateways  # the requests may fall into two windows
 
 
-def test_plan_share_passes_what_was_granted_before_while_the_counter_is_away():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateways=100))
+def test_granted_rate_of_a_plan_is_admitted_while_the_counter_does_not_answer():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateways=100))
     before = 0
-    for k in range(200):
-        before += served(w, 1, tenant=f"b{k}", spread=60)
-        w.now += 0.1
-    w.counter_mode, during = "silent", 0
-    for k in range(200):
-        during += served(w, 1, tenant=f"d{k}", spread=60)
-        w.now += 0.1
+    for number in range(200):
+        before += count_served(harness, 1, tenant=f"b{number}", spread=60)
+        harness.now += 0.1
+    harness.counter_mode, during = "silent", 0
+    for number in range(200):
+        during += count_served(harness, 1, tenant=f"d{number}", spread=60)
+        harness.now += 0.1
     assert before > 150 and 40 < during <= before + 20
 
 
-def test_customers_that_come_once_do_not_pile_up():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=1000.0, burst=4000.0)]))
-    busy = w.send_request("busy", remaining_time=1000.0)[1]
-    for n in range(2000):
-        for send in actions_of(w.send_request(f"c{n}")[1], api.Send):
-            w.finish_attempt(send)
-        w.now += 0.1
-    assert len(w.gateway.tenant_quotas) < 350 and busy
+def test_tenants_seen_once_are_dropped_while_another_request_is_open():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=1000.0, burst=4000.0)]))
+    busy = harness.send_request("busy", remaining_time=1000.0)[1]
+    for number in range(2000):
+        for send in actions_of(harness.send_request(f"c{number}")[1], api.Send):
+            harness.finish_attempt(send)
+        harness.now += 0.1
+    assert len(harness.gateway.tenant_quotas) < 350 and busy
 
 
-def test_a_spoilt_answer_of_the_counter_does_not_stop_the_next_call():
-    for result, elapsed, again in (
+def test_malformed_response_of_the_counter_does_not_stop_the_next_call():
+    for result, elapsed, calls_again in (
         ("spoilt", 0.002, True),
         ("timeout", 0.002, True),
         ("timeout", 0.05, False),
     ):
-        w = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)]))
-        w.counter_mode = "hold"
+        harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)]))
+        harness.counter_mode = "hold"
         calls = []
         while not calls:
-            calls = actions_of(w.send_request()[1], api.AddToCounter)
-        w.handle(api.CounterResult(calls[0].name, result, 0.0, elapsed))
+            calls = actions_of(harness.send_request()[1], api.AddToCounter)
+        harness.handle(api.CounterResult(calls[0].name, result, 0.0, elapsed))
         assert (
-            bool([a for n in range(8) for a in actions_of(w.send_request(f"c{n % 2}")[1], api.AddToCounter)])
-            == again
+            bool(
+                [
+                    call
+                    for number in range(8)
+                    for call in actions_of(harness.send_request(f"c{number % 2}")[1], api.AddToCounter)
+                ]
+            )
+            == calls_again
         )
 
 
-def test_units_added_by_a_call_with_a_spoilt_answer_are_not_lost():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=40.0)]))
-    real, calls = w.counter_totals, 0
-    w.counter_mode = "hold"
+def test_units_added_by_a_call_with_a_malformed_response_are_not_lost():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=40.0)]))
+    counts, calls = harness.counter_totals, 0
+    harness.counter_mode = "hold"
     sent = refused = 0
     for _ in range(60):
-        acts = w.send_request()[1]
-        while acts:
-            sent += len(actions_of(acts, api.Send))
-            refused += len(actions_of(acts, api.Refuse))
-            after = [a for s in actions_of(acts, api.Send) for a in w.finish_attempt(s)]
-            for call in actions_of(acts, api.AddToCounter):
+        actions = harness.send_request()[1]
+        while actions:
+            sent += len(actions_of(actions, api.Send))
+            refused += len(actions_of(actions, api.Refuse))
+            later = [
+                action for send in actions_of(actions, api.Send) for action in harness.finish_attempt(send)
+            ]
+            for call in actions_of(actions, api.AddToCounter):
                 calls += 1
-                real[call.name] = real.get(call.name, 0) + call.amount
-                told = ("spoilt", 0.0) if calls % 3 else ("ok", real[call.name])
-                after += w.handle(api.CounterResult(call.name, *told, 0.002))
-            acts = after
+                counts[call.name] = counts.get(call.name, 0) + call.amount
+                answer = ("spoilt", 0.0) if calls % 3 else ("ok", counts[call.name])
+                later += harness.handle(api.CounterResult(call.name, *answer, 0.002))
+            actions = later
     assert calls > 6 and 36 <= sent <= 46 and sent + refused == 60
-    assert max(real.values()) <= 48
+    assert max(counts.values()) <= 48
 
 
 def test_units_are_added_again_once_when_the_counter_lost_its_counts():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=100.0)]))
-    while len([a for _, a in w.action_log if isinstance(a, api.AddToCounter)]) < 6:
-        served(w, 1)
-    (name,), before = w.counter_totals, max(w.counter_totals.values())
-    w.counter_totals.clear()
-    calls = len(w.action_log)
-    served(w, 12)
-    again = [a.amount for _, a in w.action_log[calls:] if isinstance(a, api.AddToCounter)]
-    assert len(again) > 4 and w.counter_totals[name] <= before + 14  # not twice, not ever more
-
-
-def next_call(w):
-    """The next call that asks for units, however many requests pass before."""
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=100.0)]))
+    while len([action for _, action in harness.action_log if isinstance(action, api.AddToCounter)]) < 6:
+        count_served(harness, 1)
+    (name,), before = harness.counter_totals, max(harness.counter_totals.values())
+    harness.counter_totals.clear()
+    logged = len(harness.action_log)
+    count_served(harness, 12)
+    amounts = [
+        action.amount for _, action in harness.action_log[logged:] if isinstance(action, api.AddToCounter)
+    ]
+    # The units were added again once, not with each call.
+    assert len(amounts) > 4 and harness.counter_totals[name] <= before + 14
+
+
+def next_units_call(harness):
+    """Sends requests until one of them causes a call for units, and returns this call."""
     for _ in range(200):
-        w.now += 0.01
-        calls = [c for c in actions_of(w.send_request()[1], api.AddToCounter) if c.amount > 0]
+        harness.now += 0.01
+        calls = [call for call in actions_of(harness.send_request()[1], api.AddToCounter) if call.amount > 0]
         if calls:
             return calls[0]
     raise AssertionError("no call")
 
 
-def test_the_overdraft_is_brought_along_though_the_first_answer_is_lost():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
-    w.counter_mode = "hold"
-    call = next_call(w)
-    w.gateway.tenant_quotas["c"].debt = 5.0
-    w.handle(api.CounterResult(call.name, "timeout", 0.0, 0.002))  # its line broke: it may have been added
-    second = next_call(w)
-    acts = w.handle(api.CounterResult(call.name, "ok", call.amount + second.amount, 0.002))
-    assert [c.amount for c in actions_of(acts, api.AddToCounter) if c.amount >= 5]
-
-
-def test_what_could_not_be_added_is_not_taken_for_lost_from_the_count():
-    w = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
-    w.counter_mode = "hold"
-    call = next_call(w)
-    w.gateway.tenant_quotas["c"].debt = 5.0
-    assert actions_of(w.handle(api.CounterResult(call.name, "ok", call.amount, 0.002)), api.AddToCounter)
-    w.handle(api.CounterResult(call.name, "full", 0.0, 0.002))  # the overdraft
-    second = next_call(w)
-    acts = w.handle(api.CounterResult(call.name, "ok", call.amount + second.amount, 0.002))
-    assert sum(c.amount for c in actions_of(acts, api.AddToCounter)) < call.amount
-
-
-def crowded(mode="refuse"):
-    """One gateway of many, by itself with its customers; the counter turns all calls away."""
-    w = GatewayHarness(
+def test_overdraft_is_added_although_the_first_response_is_lost():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    harness.counter_mode = "hold"
+    call = next_units_call(harness)
+    harness.gateway.tenant_quotas["c"].debt = 5.0
+    # The connection broke: the amount may have been added.
+    harness.handle(api.CounterResult(call.name, "timeout", 0.0, 0.002))
+    second = next_units_call(harness)
+    actions = harness.handle(api.CounterResult(call.name, "ok", call.amount + second.amount, 0.002))
+    assert [call.amount for call in actions_of(actions, api.AddToCounter) if call.amount >= 5]
+
+
+def test_rejected_correction_is_not_taken_for_a_lost_count():
+    harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    harness.counter_mode = "hold"
+    call = next_units_call(harness)
+    harness.gateway.tenant_quotas["c"].debt = 5.0
+    assert actions_of(
+        harness.handle(api.CounterResult(call.name, "ok", call.amount, 0.002)), api.AddToCounter
+    )
+    harness.handle(api.CounterResult(call.name, "full", 0.0, 0.002))  # the call that adds the overdraft
+    second = next_units_call(harness)
+    actions = harness.handle(api.CounterResult(call.name, "ok", call.amount + second.amount, 0.002))
+    assert sum(correction.amount for correction in actions_of(actions, api.AddToCounter)) < call.amount
+
+
+def harness_with_rejecting_counter(mode="refuse"):
+    """One of 40 gateways; its counter rejects all calls unless `mode` says otherwise."""
+    harness = GatewayHarness(
         make_settings(plans=[make_plan(rate=0.5, burst=2.0)], gateways=40),
         [make_server(f"h{n}") for n in range(60)],
     )
-    w.counter_mode = mode
-    return w
+    harness.counter_mode = mode
+    return harness
 
 
-def passes(w, customer="c"):
-    sends = actions_of(w.send_request(tenant=customer, spread=30)[1], api.Send)
+def count_admitted(harness, customer="c"):
+    """Sends a request of a tenant with 30 gateways and returns the number of attempts, which are answered."""
+    sends = actions_of(harness.send_request(tenant=customer, spread=30)[1], api.Send)
     for send in sends:
-        w.finish_attempt(send)
+        harness.finish_attempt(send)
     return len(sends)
 
 
-def test_a_customer_seen_seldom_passes_unasked_while_the_counter_turns_calls_away():
-    w = crowded()
-    assert sum(passes(w, f"c{k}") for k in range(60)) == 60
+def test_rarely_seen_tenants_are_admitted_without_a_lease_while_the_counter_rejects_calls():
+    harness = harness_with_rejecting_counter()
+    assert sum(count_admitted(harness, f"c{number}") for number in range(60)) == 60
 
 
-def test_a_customer_that_asks_far_beyond_its_rate_does_not_pass_unasked():
-    often, seldom = crowded(), crowded()
-    passed = 0
+def test_tenant_far_over_its_rate_is_not_admitted_without_a_lease():
+    frequent, rare = harness_with_rejecting_counter(), harness_with_rejecting_counter()
+    admitted = 0
     for _ in range(40):
-        passed += passes(seldom)
-        seldom.now += 60.0  # its even part of the rate
-        often.now += 1.0
-        last = passes(often)
-    assert passed > 30 and not last
+        admitted += count_admitted(rare)
+        rare.now += 60.0  # one request per minute is the tenant's even share of its rate
+        frequent.now += 1.0
+        last = count_admitted(frequent)
+    assert admitted > 30 and not last
 
 
-def test_what_the_counter_grants_at_a_level_decides_what_passes_there_unasked():
-    w = crowded("hold")
-    for k in range(30):  # counts at their end, of customers that look quiet here
-        for c in actions_of(w.send_request(tenant=f"c{k}", spread=30)[1], api.AddToCounter):
-            w.handle(api.CounterResult(c.name, "ok", 50.0, 0.002))
-    w.counter_mode = "refuse"
-    assert not any(passes(w, f"d{k}") for k in range(10))
+def test_grants_at_a_demand_level_decide_admission_without_a_lease_there():
+    harness = harness_with_rejecting_counter("hold")
+    for number in range(30):  # exhausted counts of tenants that have little demand at this gateway
+        for call in actions_of(harness.send_request(tenant=f"c{number}", spread=30)[1], api.AddToCounter):
+            harness.handle(api.CounterResult(call.name, "ok", 50.0, 0.002))
+    harness.counter_mode = "refuse"
+    assert not any(count_admitted(harness, f"d{number}") for number in range(10))
 
 
-def test_a_call_turned_away_is_not_made_again_for_the_same_request():
-    _, acts = crowded().send_request(spread=30)
-    assert len(actions_of(acts, api.AddToCounter)) == 1
+def test_rejected_call_is_not_repeated_for_the_same_request():
+    _, actions = harness_with_rejecting_counter().send_request(spread=30)
+    assert len(actions_of(actions, api.AddToCounter)) == 1
 
 
-def test_a_customer_of_many_gateways_that_keeps_just_within_its_rate_is_hardly_refused():
+def test_tenant_just_within_its_rate_is_rarely_refused_with_many_gateways():
     rng, counts = random.Random(5), {}
-    worlds = [
-        GatewayHarness(make_settings(gateways=20, plans=[make_plan(rate=4.0, burst=8.0)], index=k), seed=k)
-        for k in range(20)
+    harnesses = [
+        GatewayHarness(
+            make_settings(gateways=20, plans=[make_plan(rate=4.0, burst=8.0)], index=index), seed=index
+        )
+        for index in range(20)
     ]
-    passed = 0
-    for w in worlds:
-        w.counter_totals = counts
-    for k in range(200):
-        w = rng.choice(worlds)
-        w.now = 1000.0 + k / 3.6
-        passed += served(w, 1, spread=20)
-    assert passed >= 196
+    served = 0
+    for harness in harnesses:
+        harness.counter_totals = counts
+    for number in range(200):
+        harness = rng.choice(harnesses)
+        harness.now = 1000.0 + number / 3.6
+        served += count_served(harness, 1, spread=20)
+    assert served >= 196
 
 
-def thin(**kw):
-    """A gateway of many, and a customer whose even part of the burst is less than a unit."""
-    return GatewayHarness(make_settings(gateways=20, limits={"max_retry_after": 60.0}, **kw))
+def harness_with_low_rate_tenants(**changes):
+    """One of 20 gateways; a tenant's even share of the burst is less than a unit."""
+    return GatewayHarness(make_settings(gateways=20, limits={"max_retry_after": 60.0}, **changes))
 
 
 @pytest.mark.parametrize("share, least, most", [(0.99, 0.95, 1.0), (0.6, 0.02, 0.5)])
-def test_what_passes_unasked_loses_a_bounded_part_of_what_passes(share, least, most):
-    """The counter turns all away in the end, and as many were granted at every level as `share` says."""
-    w = thin(plans=[make_plan(over_quota_cost=1.0)])
-    w.counter_mode = "refuse"
-    for use in w.gateway.uses.values():
-        use.share, use.seen = share, 50
-    passed = asked = 0
-    for n in range(600):
+def test_loss_by_admission_without_a_lease_is_bounded(share, least, most):
+    """The counter rejects all calls, after it granted the part `share` of the units at every demand level."""
+    harness = harness_with_low_rate_tenants(plans=[make_plan(over_quota_cost=1.0)])
+    harness.counter_mode = "refuse"
+    for statistics in harness.gateway.grant_statistics.values():
+        statistics.granted_share, statistics.observations = share, 50
+    admitted = asked = 0
+    for number in range(600):
         asked += 1
-        for send in actions_of(w.send_request(tenant=f"c{n}", spread=20)[1], api.Send):
-            passed += 1
-            w.finish_attempt(send)
-        w.advance(0.02)
-    assert least <= passed / asked <= most
+        for send in actions_of(harness.send_request(tenant=f"c{number}", spread=20)[1], api.Send):
+            admitted += 1
+            harness.finish_attempt(send)
+        harness.advance(0.02)
+    assert least <= admitted / asked <= most
 
 
-def test_a_class_of_no_worth_is_answered():
-    none = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 0.0, 0.0, False, 0.0)
-    w = thin(classes={"read": none})
+def test_class_without_value_is_admitted():
+    worthless = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 0.0, 0.0, False, 0.0)
+    harness = harness_with_low_rate_tenants(classes={"read": worthless})
     assert [
-        a for n in range(30) for a in w.send_request(tenant=f"c{n}", spread=20)[1] if isinstance(a, api.Send)
+        action
+        for number in range(30)
+        for action in harness.send_request(tenant=f"c{number}", spread=20)[1]
+        if isinstance(action, api.Send)
     ]
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,302 +1,326 @@
+"""A request until its answer: retries, hedged attempts, waiting, refusals, load shedding, server choice."""
+
 import pytest
 from helpers import GatewayHarness, actions_of, make_plan, make_server, make_settings
 
 from calicomast import interface as api
 
-BIG = make_plan(rate=1000.0, burst=4000.0)
+UNLIMITED = make_plan(rate=1000.0, burst=4000.0)
 
 
-def world(hosts=None, **kw):
-    return GatewayHarness(make_settings(plans=[BIG], **kw), hosts)
+def make_harness(servers=None, **changes):
+    """Makes a gateway whose only plan refuses no request."""
+    return GatewayHarness(make_settings(plans=[UNLIMITED], **changes), servers)
 
 
 def test_every_request_gets_one_answer_even_without_servers():
-    w = GatewayHarness(servers=[])
-    name, acts = w.send_request()
-    acts = acts + w.advance(3.0)
-    assert len([a for a in acts if isinstance(a, (api.Refuse, api.Fail)) and a.id == name]) == 1
+    harness = GatewayHarness(servers=[])
+    name, actions = harness.send_request()
+    actions = actions + harness.advance(3.0)
+    assert (
+        len([each for each in actions if isinstance(each, (api.Refuse, api.Fail)) and each.id == name]) == 1
+    )
 
 
 @pytest.mark.parametrize("result", ["error", "timeout", "reset", "cancelled"])
-def test_unsafe_is_not_sent_again_nor_refused_when_it_may_have_run(result):
-    w = world()
-    s = actions_of(w.send_request(service_class="note")[1], api.Send)[0]
-    acts = w.finish_attempt(s, result)
+def test_unsafe_request_that_may_have_run_fails_without_a_retry(result):
+    harness = make_harness()
+    send = actions_of(harness.send_request(service_class="note")[1], api.Send)[0]
+    actions = harness.finish_attempt(send, result)
     assert (
-        not actions_of(acts, api.Send)
-        and not actions_of(acts, api.Refuse)
-        and len(actions_of(acts, api.Fail)) == 1
+        not actions_of(actions, api.Send)
+        and not actions_of(actions, api.Refuse)
+        and len(actions_of(actions, api.Fail)) == 1
     )
 
 
 @pytest.mark.parametrize("result", ["full", "connect_failed"])
-def test_unsafe_is_sent_again_when_it_never_ran(result):
-    w = world()
-    s = actions_of(w.send_request(service_class="note")[1], api.Send)[0]
-    acts = w.finish_attempt(s, result)
-    assert [a.server for a in actions_of(acts, api.Send)] == [{"h1": "h2", "h2": "h1"}[s.server]]
+def test_unsafe_request_that_never_ran_is_retried(result):
+    harness = make_harness()
+    send = actions_of(harness.send_request(service_class="note")[1], api.Send)[0]
+    actions = harness.finish_attempt(send, result)
+    assert [retry.server for retry in actions_of(actions, api.Send)] == [
+        {"h1": "h2", "h2": "h1"}[send.server]
+    ]
 
 
 @pytest.mark.parametrize("cls", ["write", "cellwrite"])
-def test_keyed_stays_in_its_group_and_time(cls):
-    hosts = [
+def test_keyed_request_is_retried_only_in_its_scope_and_time(cls):
+    servers = [
         make_server("a1", "z1", 1),
         make_server("a2", "z1", 1),
         make_server("b1", "z2", 2),
         make_server("b2", "z2", 2),
     ]
-    w = world(hosts)
-    s = actions_of(w.send_request(service_class=cls)[1], api.Send)[0]
-    again = actions_of(w.finish_attempt(s, "error"), api.Send)
-    assert [a.server[0] for a in again] == [s.server[0]]
-    w = world(hosts)
-    s = actions_of(w.send_request(service_class="write")[1], api.Send)[0]
-    w.now += 1.0  # its memory is over
-    acts = w.finish_attempt(s, "error")
-    assert not actions_of(acts, api.Send) and not actions_of(acts, api.Refuse) and actions_of(acts, api.Fail)
-
-
-def test_draining_and_gone_hosts_get_nothing_new():
-    w = world()
-    w.handle(api.ServerListUpdate("delta", 2, (make_server("h1", state="leaving"),)))
-    w.handle(api.ServerListUpdate("full", 3, (make_server("h2"),)))
+    harness = make_harness(servers)
+    send = actions_of(harness.send_request(service_class=cls)[1], api.Send)[0]
+    retries = actions_of(harness.finish_attempt(send, "error"), api.Send)
+    assert [retry.server[0] for retry in retries] == [send.server[0]]
+    harness = make_harness(servers)
+    send = actions_of(harness.send_request(service_class="write")[1], api.Send)[0]
+    harness.now += 1.0  # servers no longer discard duplicates of it
+    actions = harness.finish_attempt(send, "error")
+    assert (
+        not actions_of(actions, api.Send)
+        and not actions_of(actions, api.Refuse)
+        and actions_of(actions, api.Fail)
+    )
+
+
+def test_draining_and_removed_servers_get_no_new_attempt():
+    harness = make_harness()
+    harness.handle(api.ServerListUpdate("delta", 2, (make_server("h1", state="leaving"),)))
+    harness.handle(api.ServerListUpdate("full", 3, (make_server("h2"),)))
     for _ in range(5):
-        assert {s.server for s in actions_of(w.send_request()[1], api.Send)} <= {"h2"}
+        assert {send.server for send in actions_of(harness.send_request()[1], api.Send)} <= {"h2"}
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 200])
-def test_cold_host_gets_no_more_than_it_bears_from_all_gateways_together(gateways):
-    hosts = [make_server(f"h{k}") for k in range(10)]
-    ws = [
-        GatewayHarness(make_settings(plans=[BIG], gateways=gateways, index=k), hosts, seed=k)
-        for k in range(gateways)
+def test_server_in_slow_start_gets_a_bounded_load_from_all_gateways_together(gateways):
+    servers = [make_server(f"h{number}") for number in range(10)]
+    harnesses = [
+        GatewayHarness(make_settings(plans=[UNLIMITED], gateways=gateways, index=index), servers, seed=index)
+        for index in range(gateways)
     ]
-    cold, total, now, out = [], 0, 1000.0, []
-    for step in range(1600):  # 200 a second over all; the tenth host restarts after 2 s
-        w, now = ws[step % gateways], 1000.0 + step * 0.005
+    sent_in_slow_start, total, now, live = [], 0, 1000.0, []
+    for step in range(1600):  # 200 requests per second over all gateways; the tenth server restarts after 2 s
+        harness, now = harnesses[step % gateways], 1000.0 + step * 0.005
         if step == 400:
-            for x in ws:
-                x.now = now
-                x.handle(api.ServerListUpdate("delta", 2, (make_server("h9", started_at=now),)))
-        w.now = now
-        for s in actions_of(w.send_request()[1], api.Send):
-            cold += [now] if s.server == "h9" and step >= 400 else []
+            for each in harnesses:
+                each.now = now
+                each.handle(api.ServerListUpdate("delta", 2, (make_server("h9", started_at=now),)))
+        harness.now = now
+        for send in actions_of(harness.send_request()[1], api.Send):
+            sent_in_slow_start += [now] if send.server == "h9" and step >= 400 else []
             total += 1
-            out.append((w, s))
-        if len(out) > 25:
-            x, s = out.pop(0)
-            x.now = now
-            for s2 in actions_of(x.finish_attempt(s), api.Send):
-                cold += [now] if s2.server == "h9" and step >= 400 else []
-                out.append((x, s2))
-    fair = total / 8 / 10  # a warm host's sends a second
-    assert cold, "the ramp sends something"
-    for t in cold:  # bears at least twice its fifth of capacity for 2 s, by the rules of these settings
-        warm = 0.2 + 0.8 * (t - 1002.0) / 10
-        assert sum(t <= x < t + 2.0 for x in cold) <= 2 * 2.0 * max(warm, 0.2) * fair * 2 + 3
-
-
-def test_silent_host_is_left_and_its_safe_work_copied():
-    w = world()
-    first = actions_of(w.send_request()[1], api.Send)[0]
+            live.append((harness, send))
+        if len(live) > 25:
+            answered, send = live.pop(0)
+            answered.now = now
+            for retry in actions_of(answered.finish_attempt(send), api.Send):
+                sent_in_slow_start += [now] if retry.server == "h9" and step >= 400 else []
+                live.append((answered, retry))
+    fair = total / 8 / 10  # attempts per second at one of the other servers
+    assert sent_in_slow_start, "the server in slow start gets some attempts"
+    for since in sent_in_slow_start:  # by the rules, it bears at least twice its share for 2 s
+        capacity = 0.2 + 0.8 * (since - 1002.0) / 10
+        assert (
+            sum(since <= at < since + 2.0 for at in sent_in_slow_start)
+            <= 2 * 2.0 * max(capacity, 0.2) * fair * 2 + 3
+        )
+
+
+def test_unresponsive_server_is_avoided_and_its_safe_requests_are_hedged():
+    harness = make_harness()
+    first = actions_of(harness.send_request()[1], api.Send)[0]
     sent = []
     for _ in range(60):
-        for s in actions_of(w.send_request()[1], api.Send):
-            if s.server != first.server:
-                w.finish_attempt(s)
-            sent.append(s.server)
-        w.advance(0.1)
+        for send in actions_of(harness.send_request()[1], api.Send):
+            if send.server != first.server:
+                harness.finish_attempt(send)
+            sent.append(send.server)
+        harness.advance(0.1)
     assert first.server not in sent[-20:-1] or sent[-20:].count(first.server) <= 2
     assert [
-        a
-        for _, a in w.action_log
-        if isinstance(a, api.Send) and a.id == first.id and a.server != first.server
+        action
+        for _, action in harness.action_log
+        if isinstance(action, api.Send) and action.id == first.id and action.server != first.server
     ]
 
 
-def test_no_second_copy_where_not_allowed():
-    w = world(limits=dict(hedging=False))
-    out, most = {}, 0
+def test_no_hedged_attempt_where_the_settings_forbid_it():
+    harness = make_harness(limits=dict(hedging=False))
+    live, most = {}, 0  # attempts without an outcome, by request
     for _ in range(40):
-        acts = w.send_request()[1] + w.advance(0.05)
-        todo = list(acts)
-        while todo:
-            a = todo.pop(0)
-            if isinstance(a, api.Send):
-                out[a.id] = out.get(a.id, 0) + 1
-                most = max(most, out[a.id])
-                if a.server == "h2":
-                    out[a.id] -= 1
-                    todo += w.finish_attempt(a)
-            elif isinstance(a, api.Cancel) and out.get(a.id):
-                out[a.id] -= 1
-                todo += w.handle(api.Outcome(a.id, a.attempt, "h1", "cancelled", 0.3, False))
+        actions = harness.send_request()[1] + harness.advance(0.05)
+        remaining = list(actions)
+        while remaining:
+            action = remaining.pop(0)
+            if isinstance(action, api.Send):
+                live[action.id] = live.get(action.id, 0) + 1
+                most = max(most, live[action.id])
+                if action.server == "h2":
+                    live[action.id] -= 1
+                    remaining += harness.finish_attempt(action)
+            elif isinstance(action, api.Cancel) and live.get(action.id):
+                live[action.id] -= 1
+                remaining += harness.handle(
+                    api.Outcome(action.id, action.attempt, "h1", "cancelled", 0.3, False)
+                )
     assert most == 1
 
 
-def test_restart_is_deterministic():
+def test_equal_seeds_give_equal_actions():
     logs = []
     for _ in range(2):
-        w = world([make_server(f"h{k}") for k in range(6)])
+        harness = make_harness([make_server(f"h{number}") for number in range(6)])
         for _ in range(30):
-            w.send_request()
-            w.advance(0.02)
-        logs.append(w.action_log)
+            harness.send_request()
+            harness.advance(0.02)
+        logs.append(harness.action_log)
     assert logs[0] == logs[1]
 
 
-def test_late_and_odd_events_are_taken_quietly():
-    w = world()
-    name, acts = w.send_request()
-    s = actions_of(acts, api.Send)[0]
-    w.handle(api.ClientDisconnected(name))
-    acts = w.finish_attempt(s, "ok", final=True)
-    assert not [a for a in acts if isinstance(a, (api.Refuse, api.Fail, api.Send))]
-    w.handle(api.ClientDisconnected("never"))
-    w.handle(api.TimerExpired(77))
-    w.handle(api.CounterResult(5, "ok", 3, 0.1))
-    w.handle(api.ProbeResult("h1", "ok", 0.1))
-    w.handle(api.PeerMessage(1, b"x"))
+def test_late_and_unknown_events_cause_no_answer_and_no_error():
+    harness = make_harness()
+    name, actions = harness.send_request()
+    send = actions_of(actions, api.Send)[0]
+    harness.handle(api.ClientDisconnected(name))
+    actions = harness.finish_attempt(send, "ok", final=True)
+    assert not [each for each in actions if isinstance(each, (api.Refuse, api.Fail, api.Send))]
+    harness.handle(api.ClientDisconnected("never"))
+    harness.handle(api.TimerExpired(77))
+    harness.handle(api.CounterResult(5, "ok", 3, 0.1))
+    harness.handle(api.ProbeResult("h1", "ok", 0.1))
+    harness.handle(api.PeerMessage(1, b"x"))
 
 
-def test_discovery_on_request_is_watched_and_asked_again():
-    conf = make_settings(discovery="ask")
-    w = GatewayHarness(conf)
-    assert [a for _, a in w.action_log if a == api.WatchServerList(True)]
-    w.handle(api.ServerListUpdate("failed", 0, ()))
-    assert api.WatchServerList(True) in w.advance(1.2)
+def test_watch_on_discovery_starts_again_after_a_failure():
+    on_request = make_settings(discovery="ask")
+    harness = GatewayHarness(on_request)
+    assert [action for _, action in harness.action_log if action == api.WatchServerList(True)]
+    harness.handle(api.ServerListUpdate("failed", 0, ()))
+    assert api.WatchServerList(True) in harness.advance(1.2)
 
 
-def test_stream_is_left_to_the_client():
-    w = world()
-    s = actions_of(w.send_request()[1], api.Send)[0]
-    w.handle(api.AttemptStarted(s.id, 0, s.server, 0.1))
-    acts = w.advance(4.0)
-    assert not [a for a in acts if getattr(a, "id", None) == s.id]
+def test_request_whose_response_is_streaming_is_left_alone():
+    harness = make_harness()
+    send = actions_of(harness.send_request()[1], api.Send)[0]
+    harness.handle(api.AttemptStarted(send.id, 0, send.server, 0.1))
+    actions = harness.advance(4.0)
+    assert not [action for action in actions if getattr(action, "id", None) == send.id]
 
 
 @pytest.mark.parametrize("cls", ["write", "cellwrite"])
-def test_keyed_fails_where_its_group_has_no_other_host(cls):
-    w = world([make_server("a1", "z1", 1), make_server("b1", "z2", 2), make_server("b2", "z2", 2)])
-    s = actions_of(w.send_request(service_class=cls)[1], api.Send)[0]
-    assert s.server == "a1"
-    acts = w.finish_attempt(s, "error")
-    assert not actions_of(acts, api.Send) and len(actions_of(acts, api.Fail)) == 1
+def test_keyed_request_fails_if_its_scope_has_no_other_server(cls):
+    harness = make_harness(
+        [make_server("a1", "z1", 1), make_server("b1", "z2", 2), make_server("b2", "z2", 2)]
+    )
+    send = actions_of(harness.send_request(service_class=cls)[1], api.Send)[0]
+    assert send.server == "a1"
+    actions = harness.finish_attempt(send, "error")
+    assert not actions_of(actions, api.Send) and len(actions_of(actions, api.Fail)) == 1
 
 
-def test_repeat_with_no_time_left_is_answered_at_once():
-    w = world()
-    assert actions_of(w.send_request(remaining_time=0.01)[1], api.Refuse)
+def test_request_with_too_little_time_left_is_refused_at_once():
+    harness = make_harness()
+    assert actions_of(harness.send_request(remaining_time=0.01)[1], api.Refuse)
 
 
 @pytest.mark.parametrize("result", ["full", "error", "timeout"])
-def test_host_that_fails_one_plan_or_class_keeps_the_others(result):
+def test_server_that_fails_one_plan_or_class_still_serves_the_others(result):
     bad, good = {"plan": "p", "service_class": "note"}, {"plan": "q", "service_class": "read"}
-    w = GatewayHarness(
-        make_settings(plans=[BIG, make_plan("q", rate=1000.0, burst=4000.0)], gateways=1), [make_server("h1")]
+    harness = GatewayHarness(
+        make_settings(plans=[UNLIMITED, make_plan("q", rate=1000.0, burst=4000.0)], gateways=1),
+        [make_server("h1")],
     )
     for _ in range(12):
-        s = actions_of(w.send_request(**bad)[1], api.Send)[0]
-        w.advance(1.0)  # long enough to be taken for silent
-        w.finish_attempt(s, result, final=result != "full")
-        for s in actions_of(w.send_request(**good)[1], api.Send):
-            w.finish_attempt(s)
-        w.now += 0.5  # for what it failed it rests so long at most
-    w.handle(api.ServerListUpdate("delta", 2, (make_server("h2"),)))
-    hosts = []
+        send = actions_of(harness.send_request(**bad)[1], api.Send)[0]
+        harness.advance(1.0)  # long enough for the attempt to be late
+        harness.finish_attempt(send, result, final=result != "full")
+        for send in actions_of(harness.send_request(**good)[1], api.Send):
+            harness.finish_attempt(send)
+        harness.now += 0.5  # the longest cool-down after failures
+    harness.handle(api.ServerListUpdate("delta", 2, (make_server("h2"),)))
+    servers = []
     for _ in range(8):
-        s = actions_of(w.send_request(**bad)[1], api.Send)[0]
-        hosts.append(s.server)
-        w.finish_attempt(s)
-    assert hosts.count("h1") == 0
-    assert "h1" in [s.server for _ in range(4) for s in actions_of(w.send_request(**good)[1], api.Send)]
+        send = actions_of(harness.send_request(**bad)[1], api.Send)[0]
+        servers.append(send.server)
+        harness.finish_attempt(send)
+    assert servers.count("h1") == 0
+    assert "h1" in [
+        send.server for _ in range(4) for send in actions_of(harness.send_request(**good)[1], api.Send)
+    ]
 
 
-def test_retries_at_the_start_are_no_storm_whatever_the_number_of_gateways():
+def test_initial_retries_are_bounded_over_any_number_of_gateways():
     for gateways in (1, 200):
-        again = 0
-        for k in range(gateways):
-            w = GatewayHarness(make_settings(plans=[BIG], gateways=gateways, index=k), seed=k)
-            s = actions_of(w.send_request()[1], api.Send)[0]
-            again += len(actions_of(w.finish_attempt(s, "error"), api.Send))
-        assert again <= 15
-
-
-def test_no_timer_when_nothing_is_due():
-    w = world()
-    s = actions_of(w.send_request()[1], api.Send)[0]
-    w.finish_attempt(s)
-    assert not actions_of(w.advance(1.0), api.SetTimer)
-
-
-def test_idle_accounts_are_dropped():
-    w = world()
-    for k in range(300):
-        for s in actions_of(w.send_request(tenant=f"c{k}")[1], api.Send):
-            w.finish_attempt(s)
-        w.now += 1.0
-    assert len(w.gateway.tenant_quotas) < 70
-
-
-def test_overload_of_servers_sheds_what_is_worth_least_with_many_gateways():
-    w = GatewayHarness(make_settings(plans=[BIG], gateways=50), [make_server(f"h{k}") for k in range(10)])
+        retries = 0
+        for index in range(gateways):
+            harness = GatewayHarness(
+                make_settings(plans=[UNLIMITED], gateways=gateways, index=index), seed=index
+            )
+            send = actions_of(harness.send_request()[1], api.Send)[0]
+            retries += len(actions_of(harness.finish_attempt(send, "error"), api.Send))
+        assert retries <= 15
+
+
+def test_no_timer_is_set_when_nothing_is_scheduled():
+    harness = make_harness()
+    send = actions_of(harness.send_request()[1], api.Send)[0]
+    harness.finish_attempt(send)
+    assert not actions_of(harness.advance(1.0), api.SetTimer)
+
+
+def test_quota_state_of_idle_tenants_is_dropped():
+    harness = make_harness()
+    for number in range(300):
+        for send in actions_of(harness.send_request(tenant=f"c{number}")[1], api.Send):
+            harness.finish_attempt(send)
+        harness.now += 1.0
+    assert len(harness.gateway.tenant_quotas) < 70
+
+
+def test_server_overload_sheds_the_least_valuable_class_with_many_gateways():
+    harness = GatewayHarness(
+        make_settings(plans=[UNLIMITED], gateways=50), [make_server(f"h{number}") for number in range(10)]
+    )
     served = {"read": 0, "write": 0}
-    for k in range(400):
-        cls = ("read", "write")[k % 2]
-        for s in actions_of(w.send_request(service_class=cls)[1], api.Send):
+    for number in range(400):
+        cls = ("read", "write")[number % 2]
+        for send in actions_of(harness.send_request(service_class=cls)[1], api.Send):
             served[cls] += 1
-            w.finish_attempt(s, report={"queue": 30.0, "util": 1.0}, elapsed=0.9)
-        w.now += 0.05
+            harness.finish_attempt(send, report={"queue": 30.0, "util": 1.0}, elapsed=0.9)
+        harness.now += 0.05
     assert served["read"] < 0.5 * served["write"] and served["write"] < 150
 
 
-def test_a_request_waits_no_longer_than_it_can_still_be_sent_with_use():
-    w = GatewayHarness(make_settings(gateways=1), [make_server("h1")])
-    name, acts = w.send_request()
-    (send,), arrived = actions_of(acts, api.Send), w.now
-    w.gateway.balancer.mean_latency["read"] = (
-        0.6  # of the aim of 1.0: an attempt begun later is answered too late
-    )
-    assert w.gateway.hold(w.gateway.requests[name]) <= 0.4
-    w.now += 0.3
-    w.handle(api.ServerListUpdate("delta", 2, (make_server("h2", started_at=w.now),)))
-    w.gateway.balancer.servers["h2"].slow_start.record_send(
-        w.now, 99.0, ("other", 0)
-    )  # cold: it may be sent nothing for 2 s
-    acts = w.finish_attempt(send, "reset")
-    assert not actions_of(acts, api.Refuse | api.Fail)
-    acts = w.advance(0.6)
-    end = [at for at, a in w.action_log if isinstance(a, api.Refuse | api.Fail) and a.id == name]
-    assert actions_of(acts, api.Refuse | api.Fail) and end[0] <= arrived + 0.4 + 0.05
+def test_queued_request_is_given_up_once_an_attempt_would_miss_the_latency_target():
+    harness = GatewayHarness(make_settings(gateways=1), [make_server("h1")])
+    name, actions = harness.send_request()
+    (send,), arrived = actions_of(actions, api.Send), harness.now
+    # With a mean of 0.6 s and a latency target of 1 s, an attempt must begin within 0.4 s.
+    harness.gateway.balancer.mean_latency["read"] = 0.6
+    assert harness.gateway.max_queue_time(harness.gateway.requests[name]) <= 0.4
+    harness.now += 0.3
+    harness.handle(api.ServerListUpdate("delta", 2, (make_server("h2", started_at=harness.now),)))
+    # The server is in slow start, and its budget is spent for 2 s.
+    harness.gateway.balancer.servers["h2"].slow_start.record_send(harness.now, 99.0, ("other", 0))
+    actions = harness.finish_attempt(send, "reset")
+    assert not actions_of(actions, api.Refuse | api.Fail)
+    actions = harness.advance(0.6)
+    ends = [
+        at for at, each in harness.action_log if isinstance(each, api.Refuse | api.Fail) and each.id == name
+    ]
+    assert actions_of(actions, api.Refuse | api.Fail) and ends[0] <= arrived + 0.4 + 0.05
 
 
 @pytest.mark.parametrize("result", ["full", "reset", "timeout", "error", "connect_failed"])
 def test_no_request_has_more_attempts_than_the_settings_allow(result):
-    hosts = [make_server(f"h{n}") for n in range(1, 9)]
-    w = GatewayHarness(make_settings(gateways=1, limits={"max_attempts": 3, "hedging": True}), hosts)
-    name, acts = w.send_request()
-    sends = actions_of(acts, api.Send)
+    servers = [make_server(f"h{number}") for number in range(1, 9)]
+    harness = GatewayHarness(make_settings(gateways=1, limits={"max_attempts": 3, "hedging": True}), servers)
+    name, actions = harness.send_request()
+    sends = actions_of(actions, api.Send)
     for number in range(8):
         if number < len(sends):
-            w.handle(
-                api.ServerListUpdate("delta", 2 + number, (make_server(f"new{number}"),))
-            )  # another that it could go to
-            sends += actions_of(w.finish_attempt(sends[number], result, attempt=number), api.Send)
-            sends += actions_of(w.advance(0.3), api.Send)  # a second copy, where one is late
-    assert len([s for s in sends if s.id == name]) <= 3
+            # One more server that the request could go to.
+            harness.handle(api.ServerListUpdate("delta", 2 + number, (make_server(f"new{number}"),)))
+            sends += actions_of(harness.finish_attempt(sends[number], result, attempt=number), api.Send)
+            sends += actions_of(harness.advance(0.3), api.Send)  # a hedged attempt, where one is late
+    assert len([send for send in sends if send.id == name]) <= 3
 
 
 @pytest.mark.parametrize("result", api.NOT_STARTED_RESULTS)
-def test_an_attempt_that_never_began_spends_none_and_blames_no_server(result):
-    w = GatewayHarness(
+def test_attempt_that_never_began_is_not_counted_and_not_held_against_a_server(result):
+    harness = GatewayHarness(
         make_settings(gateways=1, limits={"max_attempts": 1}), [make_server("h1"), make_server("h2")]
     )
-    name, acts = w.send_request()
-    sends = actions_of(acts, api.Send)
+    name, actions = harness.send_request()
+    sends = actions_of(actions, api.Send)
     for number in range(3):
-        acts = w.finish_attempt(sends[-1], result, attempt=number) + w.advance(0.12)
-        sends += actions_of(acts, api.Send)
-        assert len(sends) == number + 2 and not actions_of(acts, api.Refuse)
-    detector = w.gateway.balancer.detector
+        actions = harness.finish_attempt(sends[-1], result, attempt=number) + harness.advance(0.12)
+        sends += actions_of(actions, api.Send)
+        assert len(sends) == number + 2 and not actions_of(actions, api.Refuse)
+    detector = harness.gateway.balancer.detector
     assert not detector.estimates
-    assert actions_of(w.finish_attempt(sends[-1], "full", attempt=3), api.Refuse)  # that one counts
+    assert actions_of(harness.finish_attempt(sends[-1], "full", attempt=3), api.Refuse)  # this attempt counts
