--- a/tests/test_emulator_real.py
+++ b/tests/test_emulator_real.py
@@ -1,4 +1,4 @@
-"""The emulator's real gateways: small forms, and that nothing is left behind."""
+"""Tests of the emulator with real gateways at small sizes, and that every process is terminated."""
 
 import asyncio
 import os
@@ -17,70 +17,71 @@
 from emulator.real.processes import ProcessError, process_usage, running_gateway, running_stand_ins
 
 ROOT = Path(__file__).resolve().parent.parent
-AMPLE = PlanQuota("standard", rate=20.0, burst=20.0)  # a tenant asks 10 units here: all pass, some by a lease
+# Each tenant requests 10 units: all are admitted, some by a lease
+AMPLE_PLAN = PlanQuota("standard", rate=20.0, burst=20.0)
 
 
-def children(pid):
-    """Ids of the processes that a process started and that still are there."""
-    told = Path(f"/proc/{pid}/task/{pid}/children").read_text()
-    return [int(word) for word in told.split()]
+def child_pids(pid):
+    """Returns the ids of the child processes that are still running."""
+    output = Path(f"/proc/{pid}/task/{pid}/children").read_text()
+    return [int(child) for child in output.split()]
 
 
 @on_loop
-async def test_requests_go_through_a_real_gateway_and_are_counted_at_the_stand_ins():
-    shape = Deployment(gateways=4, servers=20, plans=(AMPLE,))
-    async with running_stand_ins() as others:
-        assert (await others.command("list", gateways=4, servers=20))["bytes"] > 1000
-        async with running_gateway(shape, others.ports) as started:
-            latencies = await send_at_constant_rate(started.port, 100.0, 0.5, 4, "standard", tenants=5)
-            tally = await others.command("tally")
-            pid = started.process.pid
+async def test_requests_pass_a_real_gateway_and_are_counted_by_the_stand_ins():
+    deployment = Deployment(gateways=4, servers=20, plans=(AMPLE_PLAN,))
+    async with running_stand_ins() as stand_ins:
+        assert (await stand_ins.command("list", gateways=4, servers=20))["bytes"] > 1000
+        async with running_gateway(deployment, stand_ins.ports) as gateway:
+            latencies = await send_at_constant_rate(gateway.port, 100.0, 0.5, 4, "standard", tenants=5)
+            tally = await stand_ins.command("tally")
+            pid = gateway.process.pid
             assert process_usage(pid).peak_kb >= process_usage(pid).resident_kb > 0
         with pytest.raises(ProcessError):
             process_usage(pid)
-        other = others.process.pid
+        stand_ins_pid = stand_ins.process.pid
     with pytest.raises(ProcessError):
-        process_usage(other)
+        process_usage(stand_ins_pid)
     assert latencies.not_served == 0 and latencies.histogram.get_total_count() == 50
     assert tally["commands"] >= 50 and tally["counter_calls"] > 0
     assert tally["whole_lists"] == 1 and tally["discovery_bytes"] > 1000
 
 
 @on_loop
-async def test_a_change_reaches_the_gateway_as_a_change():
-    shape = Deployment(gateways=4, servers=20)
-    async with running_stand_ins() as others:
-        await others.command("list", gateways=4, servers=20)
-        async with running_gateway(shape, others.ports):
-            before = await others.command("tally")
-            assert (await others.command("changes", count=3, first=0, every=0.05))["version"] == 4
+async def test_change_of_the_server_list_is_sent_without_the_full_list():
+    deployment = Deployment(gateways=4, servers=20)
+    async with running_stand_ins() as stand_ins:
+        await stand_ins.command("list", gateways=4, servers=20)
+        async with running_gateway(deployment, stand_ins.ports):
+            before = await stand_ins.command("tally")
+            assert (await stand_ins.command("changes", count=3, first=0, every=0.05))["version"] == 4
             await asyncio.sleep(0.2)
-            after = await others.command("tally")
+            after = await stand_ins.command("tally")
     assert after["whole_lists"] == before["whole_lists"]
     assert after["discovery_calls"] > before["discovery_calls"]
 
 
 @on_loop
-async def test_a_gateway_that_does_not_start_is_an_error(monkeypatch):
+async def test_gateway_that_does_not_start_raises_an_error(monkeypatch):
     monkeypatch.setattr(processes, "gateway_command", lambda: [sys.executable, "-c", "raise SystemExit(3)"])
-    async with running_stand_ins() as others:
+    async with running_stand_ins() as stand_ins:
         with pytest.raises(ProcessError, match="ended with 3"):
-            async with running_gateway(Deployment(4, 20), others.ports):
+            async with running_gateway(Deployment(4, 20), stand_ins.ports):
                 pass
 
 
-def test_an_interrupt_leaves_no_process_behind():
+def test_interrupt_leaves_no_process_behind():
     command = [sys.executable, "-m", "emulator", "run", "real-reload", "--servers", "50"]
-    running = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+    process = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
     try:
-        until = time.monotonic() + 20
-        while len(started := children(running.pid)) < 2 and time.monotonic() < until:
+        deadline = time.monotonic() + 20
+        while len(pids := child_pids(process.pid)) < 2 and time.monotonic() < deadline:
             time.sleep(0.01)
-        assert len(started) == 2
-        running.send_signal(signal.SIGINT)
-        running.communicate(timeout=20)
-        assert running.returncode == 130
-        assert not [pid for pid in started if os.path.exists(f"/proc/{pid}")]
+        assert len(pids) == 2
+        process.send_signal(signal.SIGINT)
+        process.communicate(timeout=20)
+        assert process.returncode == 130
+        assert not [pid for pid in pids if os.path.exists(f"/proc/{pid}")]
     finally:
-        running.kill()
-        running.communicate()
+        process.kill()
+        process.communicate()
