--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -17,7 +17,7 @@
 from emulator.report import plot_fit, print_result
 from emulator.results import Result, ResultFileError, read_result
 from emulator.runner import run_scenario
-from emulator.scenarios import DEFAULT, SCENARIOS
+from emulator.scenarios import DEFAULT_SCENARIO, SCENARIOS
 from emulator.scenarios.base import Options, ScenarioError
 from emulator.soak.command import soak
 
@@ -51,7 +51,7 @@
     for name in ("scenario", "gateways", "what it measures"):
         table.add_column(name)
     for scenario in SCENARIOS.values():
-        default = " (default)" if scenario.name == DEFAULT else ""
+        default = " (default)" if scenario.name == DEFAULT_SCENARIO else ""
         table.add_row(scenario.name + default, scenario.kind, scenario.summary)
     make_console().print(table)
 
@@ -70,7 +70,7 @@
         typer.Argument(
             help="Name of the scenario; `list` prints all names.", callback=validate_scenario_name
         ),
-    ] = DEFAULT,
+    ] = DEFAULT_SCENARIO,
     gateways: Annotated[
         int | None, typer.Option(min=1, max=MAX_GATEWAYS, help="Number of gateways in the largest fleet.")
     ] = None,
--- a/emulator/real/processes.py
+++ b/emulator/real/processes.py
@@ -57,7 +57,7 @@
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         status = Path(f"/proc/{pid}/status").read_text()
     except OSError as err:
-        raise ProcessError(f"process {pid} is gone") from err
+        raise ProcessError(f"process {pid} has ended") from err
     sizes = {line.split(":")[0]: line.split() for line in status.splitlines() if line.startswith("Vm")}
     cpu_seconds = (int(fields[11]) + int(fields[12])) / CLOCK_TICK
     return ProcessUsage(cpu_seconds, int(sizes["VmRSS"][1]), int(sizes["VmHWM"][1]))
--- a/emulator/scenarios/__init__.py
+++ b/emulator/scenarios/__init__.py
@@ -15,7 +15,7 @@
 )
 from emulator.scenarios.base import Scenario
 
-DEFAULT = "steady"
+DEFAULT_SCENARIO = "steady"
 SCENARIOS: dict[str, Scenario] = {
     scenario.name: scenario
     for scenario in (
--- a/emulator/scenarios/quota.py
+++ b/emulator/scenarios/quota.py
@@ -17,8 +17,8 @@
 SPREADS = (2, 8, 32)  # gateways that receive the requests of the tenant
 UTILIZATION = 0.5  # requested share of the rate
 BURST_SECONDS = 2.0  # burst of the plan, in seconds at its rate; at least one unit
-MIN_REFILLS = 6  # a measurement lasts at least so many times as long as the burst takes to refill
-MIN_SECONDS = 20.0  # shortest measurement
+MIN_REFILLS = 6  # shortest measurement, in times that the burst takes to refill
+MIN_SECONDS = 20.0  # shortest measurement in seconds
 
 
 def measure(rate: float, spread: int, gateways: int, seed: int) -> Row:
--- a/emulator/scenarios/real.py
+++ b/emulator/scenarios/real.py
@@ -30,7 +30,10 @@
 
 
 def make_deployment(options: Options, servers: int) -> Deployment:
-    """Returns a deployment with this number of servers and the gateways of the options or the target."""
+    """Returns a deployment with this number of servers.
+
+    It has the target number of gateways unless the options set another one.
+    """
     return Deployment(options.gateways or GATEWAYS_AT_TARGET, servers, plans=(PLAN,))
 
 
@@ -46,7 +49,7 @@
             return await measure(gateway, stand_ins)
 
 
-async def rows_by_servers(
+async def measure_by_server_count(
     options: Options, sizes: list[int], measure: Measure, servers_known: bool
 ) -> list[Row]:
     """Measures a gateway with server lists of several lengths.
@@ -97,7 +100,7 @@
 async def membership_rows(options: Options) -> list[Row]:
     """Measures gateways that have no server list at their start, with lists of several lengths."""
     sizes = geometric_sizes(options.servers or SERVERS_AT_TARGET, steps=4, factor=4.7)
-    return await rows_by_servers(options, sizes, measure_list_cost, servers_known=False)
+    return await measure_by_server_count(options, sizes, measure_list_cost, servers_known=False)
 
 
 def added_latency(through: Latencies, direct: Latencies) -> Row:
@@ -142,7 +145,7 @@
             "not_served": direct.not_served + through.not_served + under_change.not_served,
         }
 
-    return await rows_by_servers(options, sizes, measure, servers_known=True)
+    return await measure_by_server_count(options, sizes, measure, servers_known=True)
 
 
 async def connection_rows(options: Options) -> list[Row]:
@@ -188,7 +191,7 @@
             "whole_lists_per_reload": (tally_after["whole_lists"] - tally_before["whole_lists"]) / reloads,
         }
 
-    return await rows_by_servers(options, sizes, measure, servers_known=True)
+    return await measure_by_server_count(options, sizes, measure, servers_known=True)
 
 
 def run_on_uvloop(rows: Callable[[Options], Awaitable[list[Row]]]) -> Callable[[Options], list[Row]]:
