--- a/emulator/soak/configuration.py
+++ b/emulator/soak/configuration.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from emulator.deployment import MILLISECOND_NS, SECOND_NS, Deployment, PlanShape
+from emulator.deployment import MILLISECOND_NS, SECOND_NS, Deployment, PlanQuota
 from emulator.soak.record import Effect
 
 SPREAD = 3  # gateways that receive the requests of one tenant
 SERVER_CONCURRENCY = 2  # requests that a server processes at once
 MEAN_SERVICE_TIME = 0.03  # seconds
-PLAN = PlanShape("standard", rate=6.0, burst=12.0)
+PLAN = PlanQuota("standard", rate=6.0, burst=12.0)
 DRAIN_GRACE = 1.0  # seconds within which a gateway must stop sending to a draining server
 # Seconds after which a change in discovery is assumed to have reached every gateway, even if calls failed.
 MAX_DISCOVERY_DELAY = 6.0
@@ -52,7 +52,12 @@
 def settings_tree(gateways: int, index: int) -> dict[str, Any]:
     """Returns the settings of one gateway as nested JSON, with times in nanoseconds."""
     deployment = Deployment(
-        gateways, 16, zones=2, plans=(PLAN,), cold_time=SLOW_START_DURATION, extra_limits={"max_open": 500}
+        gateways,
+        16,
+        zones=2,
+        plans=(PLAN,),
+        slow_start_duration=SLOW_START_DURATION,
+        extra_limits={"max_open": 500},
     )
     tree = deployment.settings_tree(index)
     tree["limits"]["connect_timeout"] = int(CONNECT_TIMEOUT * SECOND_NS)
--- a/emulator/soak/gateways.py
+++ b/emulator/soak/gateways.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from emulator.real.faults import FaultInjector
-from emulator.real.processes import READY_WITHIN, ProcessError, answers_ping, run_command, usage
+from emulator.real.processes import READY_TIMEOUT, ProcessError, answers_ping, gateway_command, process_usage
 from emulator.results import ROOT
 from emulator.soak.configuration import MAX_DEADLINE, MAX_DESCRIPTORS, settings_tree
 from emulator.soak.record import ProcessRun, SoakRecord
@@ -72,7 +72,7 @@
         self.reserved_socket = reserve_port()
         self.port = self.reserved_socket.getsockname()[1]
         self.command = (
-            run_command() if sabotage is None else [sys.executable, "-m", SABOTAGE_MODULE, sabotage]
+            gateway_command() if sabotage is None else [sys.executable, "-m", SABOTAGE_MODULE, sabotage]
         )
         self.run_number = 0
         self.address_index = 0  # which of the two addresses of discovery and the counter is configured
@@ -120,7 +120,7 @@
                 *self.command, cwd=ROOT, env=environment, stdout=log, stderr=log
             )
         process, process_run = self.process, self.process_run
-        while time.monotonic() - process_run.started_at < READY_WITHIN and process.returncode is None:
+        while time.monotonic() - process_run.started_at < READY_TIMEOUT and process.returncode is None:
             if await answers_ping(self.port, PING_TIMEOUT):
                 process_run.ready_at = time.monotonic()
                 self.ready = True
@@ -185,5 +185,5 @@
                 self.record_exit(process_run, process)
             return
         with contextlib.suppress(ProcessError, OSError):
-            process_run.resident_kb.append((time.monotonic(), usage(process.pid).resident))
+            process_run.resident_kb.append((time.monotonic(), process_usage(process.pid).resident_kb))
             process_run.descriptor_counts.append(len(os.listdir(f"/proc/{process.pid}/fd")))
--- a/emulator/soak/invariants.py
+++ b/emulator/soak/invariants.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from emulator.real.processes import READY_WITHIN
+from emulator.real.processes import READY_TIMEOUT
 from emulator.soak.clients import BAD_CLIENT_TIMEOUT, LATE_RESPONSE_GRACE, has_expected_value
 from emulator.soak.configuration import (
     DEDUP_WINDOW,
@@ -329,7 +329,7 @@
         ends = [at for at in (run.sigterm_at, run.sigkill_at, run.ended_at) if at is not None]
         until = min(ends, default=record.ended_at)
         ended_by_itself = run.sigterm_at is None and run.sigkill_at is None
-        if run.ready_at is None and (ended_by_itself or until - run.started_at >= READY_WITHIN):
+        if run.ready_at is None and (ended_by_itself or until - run.started_at >= READY_TIMEOUT):
             yield Violation(
                 "processes_live", run.started_at, f"{subject}: never ready, exit code {run.exit_code}"
             )
--- a/emulator/soak/standins.py
+++ b/emulator/soak/standins.py
@@ -14,7 +14,7 @@
 
 import hiredis
 
-from emulator.real.standins import CounterProtocol, DiscoveryProtocol, StandInTally, http_answer
+from emulator.real.standins import CounterProtocol, DiscoveryProtocol, StandInTally, http_response
 from emulator.soak.configuration import MAX_DISCOVERY_DELAY, MEAN_SERVICE_TIME, SERVER_CONCURRENCY
 from emulator.soak.proxy import FaultProxy, ProxyFault
 from emulator.soak.record import AttemptRecord, ServerStart, SoakRecord, StateDelivery
@@ -259,7 +259,7 @@
         """Responds to one call and records the delivery."""
         assert self.transport is not None
         body, servers = await self.agent.service.respond(dict(parse_qsl(urlsplit(target).query)))
-        self.transport.write(http_answer(body))
+        self.transport.write(http_response(body))
         self.agent.record_delivery(servers)
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -114,10 +114,10 @@
 def change_lines(servers, gateways=3300):
     """Returns the mean number of Python lines executed for one change of the server list."""
     deployment = Deployment(gateways, servers)
-    harness = PolicyHarness(deployment.settings(0), deployment.hosts())
+    harness = PolicyHarness(deployment.settings(0), deployment.all_servers())
     step = max(1, servers // 60)
     numbers = range(0, servers, step)
-    changes = [(deployment.host(n, state),) for state in ("leaving", "up") for n in numbers]
+    changes = [(deployment.server(n, state),) for state in ("leaving", "up") for n in numbers]
     updates = [api.ServerListUpdate("delta", 2, changed) for changed in changes]
     return executed_lines(lambda: [harness.policy.handle(harness.now, update) for update in updates]) / len(
         updates
