--- a/tests/test_emulator_real.py
+++ b/tests/test_emulator_real.py
@@ -85,3 +85,14 @@
     finally:
         process.kill()
         process.communicate()
+
+
+def test_usage_of_an_ended_process_that_was_not_reaped_is_a_process_error():
+    """The kernel lists no memory sizes for a zombie; a task that samples processes must survive that."""
+    process = subprocess.Popen([sys.executable, "-c", ""])
+    try:
+        os.waitid(os.P_PID, process.pid, os.WEXITED | os.WNOWAIT)
+        with pytest.raises(ProcessError):
+            process_usage(process.pid)
+    finally:
+        process.wait()
