--- a/emulator/discovery_model.py
+++ b/emulator/discovery_model.py
@@ -59,7 +59,7 @@
         self._version_changed = asyncio.Event()
         self._full_body_cache: tuple[int, bytes] | None = None
 
-    def change(self, entry: dict[str, Any]) -> None:
+    def apply_change(self, entry: dict[str, Any]) -> None:
         """Adds, replaces or removes one entry, which creates a new version of the list."""
         if entry["state"] == "removed":
             self.entries.pop(entry["id"], None)
@@ -91,7 +91,7 @@
         else:
             self.tally.changes += 1
             self.tally.entries += len(changed)
-            body = self._body(False, list(changed.values()))
+            body = self._encode_list(False, list(changed.values()))
         self.tally.bytes += len(body)
         return body
 
@@ -113,9 +113,9 @@
 
     def _full_body(self) -> bytes:
         if self._full_body_cache is None or self._full_body_cache[0] != self.version:
-            self._full_body_cache = self.version, self._body(True, list(self.entries.values()))
+            self._full_body_cache = self.version, self._encode_list(True, list(self.entries.values()))
         return self._full_body_cache[1]
 
-    def _body(self, full: bool, servers: list[dict[str, Any]]) -> bytes:
+    def _encode_list(self, full: bool, servers: list[dict[str, Any]]) -> bytes:
         message = {"version": self.version, "full": full, "servers": servers}
         return json.dumps(message, separators=(",", ":")).encode()
--- a/emulator/real/load.py
+++ b/emulator/real/load.py
@@ -48,9 +48,9 @@
             try:
                 data = await asyncio.wait_for(self.reader.read(65536), RESPONSE_TIMEOUT)
             except TimeoutError as err:
-                raise LoadError("no answer in time") from err
+                raise LoadError("no response in time") from err
             if not data:
-                raise LoadError("the connection was closed without an answer")
+                raise LoadError("the connection was closed without a response")
             self.parser.feed(data)
         return response
 
--- a/emulator/real/standins.py
+++ b/emulator/real/standins.py
@@ -76,10 +76,10 @@
         assert self.transport is not None
         *lines, self.partial_line = (self.partial_line + data).split(b"\r\n")
         for line in lines:
-            self.transport.write(self.answer(line.split()))
+            self.transport.write(self.execute_call(line.split()))
         self.tally.counter_bytes += len(data)
 
-    def answer(self, fields: list[bytes]) -> bytes:
+    def execute_call(self, fields: list[bytes]) -> bytes:
         """Executes the call of one line and returns the line of the response."""
         if fields == [b"ping"]:
             return b"pong\r\n"
@@ -110,16 +110,16 @@
     def reset(self, servers: int, entry: Callable[[int, str], dict[str, Any]]) -> None:
         """Replaces the list by one with `servers` servers, at version 1."""
         self.servers, self.entry, self.version, self.changes = servers, entry, 1, []
-        self.full_body = self._body(True, [entry(number, "up") for number in range(servers)])
+        self.full_body = self._encode_list(True, [entry(number, "up") for number in range(servers)])
 
-    def change(self, number: int, state: str) -> None:
+    def change_state(self, number: int, state: str) -> None:
         """Changes the state of one server, which creates a new version."""
         self.version += 1
         self.changes.append(self.entry(number, state))
         version_changed, self.version_changed = self.version_changed, asyncio.Event()
         version_changed.set()
 
-    async def answer(self, query: dict[str, str]) -> bytes:
+    async def respond(self, query: dict[str, str]) -> bytes:
         """Returns the body of the response to a call, after the wait that the call requests."""
         self.tally.discovery_calls += 1
         client_version = int(query.get("index", 0))
@@ -133,11 +133,11 @@
             self.tally.whole_lists += 1
             body = self.full_body
         else:
-            body = self._body(False, self.changes[client_version - 1 :])
+            body = self._encode_list(False, self.changes[client_version - 1 :])
         self.tally.discovery_bytes += len(body)
         return body
 
-    def _body(self, full: bool, servers: list[dict[str, Any]]) -> bytes:
+    def _encode_list(self, full: bool, servers: list[dict[str, Any]]) -> bytes:
         message = {"version": self.version, "full": full, "servers": servers}
         return json.dumps(message, separators=(",", ":")).encode()
 
@@ -151,7 +151,7 @@
 class DiscoveryProtocol(asyncio.Protocol):
     """An HTTP/1.1 server for discovery that serves one GET at a time.
 
-    The bodies are those that `service.answer` returns; see `ServerListService.answer`.
+    The bodies are those that `service.respond` returns; see `ServerListService.respond`.
     """
 
     def __init__(self, service: Any) -> None:
@@ -178,12 +178,12 @@
 
     def on_message_complete(self) -> None:
         """Starts to serve the complete request; called by the parser."""
-        self.task = asyncio.get_running_loop().create_task(self.reply(self.target))
+        self.task = asyncio.get_running_loop().create_task(self.send_response(self.target))
 
-    async def reply(self, target: str) -> None:
+    async def send_response(self, target: str) -> None:
         """Writes the response to one call."""
         assert self.transport is not None
-        body = await self.service.answer(dict(parse_qsl(urlsplit(target).query)))
+        body = await self.service.respond(dict(parse_qsl(urlsplit(target).query)))
         self.transport.write(http_response(body))
 
 
@@ -225,7 +225,7 @@
             case "changes":
                 for number in range(command["count"]):
                     state = "draining" if number % 2 == 0 else "up"
-                    self.service.change(command["first"] + number // 2, state)
+                    self.service.change_state(command["first"] + number // 2, state)
                     await asyncio.sleep(command["every"])
                 return {"version": self.service.version}
             case "tally":
--- a/emulator/scenarios/storm.py
+++ b/emulator/scenarios/storm.py
@@ -66,7 +66,7 @@
         loop.call_later(OUTAGE[1], setattr, service, "down", False)
     for number in range(CHANGES):
         at = OUTAGE[1] + number * (SECONDS / 2 - OUTAGE[1]) / CHANGES
-        loop.call_later(at, service.change, deployment.discovery_entry(number, state="draining"))
+        loop.call_later(at, service.apply_change, deployment.discovery_entry(number, state="draining"))
     await asyncio.sleep(SECONDS)
     outdated = sum(client.version < service.version for client in clients)
     response_times = [
--- a/emulator/soak/clients.py
+++ b/emulator/soak/clients.py
@@ -138,16 +138,16 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def encode_command(self, request_id: str, service: ServiceClassConfig, tenant: int) -> bytes:
+    def encode_command(self, request_id: str, service_class: ServiceClassConfig, tenant: int) -> bytes:
         """Returns a request as it is sent to a gateway."""
         first_gateway = tenant % len(self.front_end.ports)
         spread = min(SPREAD, len(self.front_end.ports))
-        key = "" if service.effect.value != "keyed" else f",k=key-{request_id}"
+        key = "" if service_class.effect.value != "keyed" else f",k=key-{request_id}"
         options = (
-            f"c={service.name},t={PLAN.name},d={int(service.deadline * 1000)}{key},"
+            f"c={service_class.name},t={PLAN.name},d={int(service_class.deadline * 1000)}{key},"
             f"units=1,spread={spread},first={first_gateway}"
         )
-        is_read = service.effect.value == "safe"
+        is_read = service_class.effect.value == "safe"
         parts = ["API.READ" if is_read else "API.WRITE", f"{tenant:016x}", request_id, options]
         parts += (
             []
@@ -183,36 +183,38 @@
         """Sends one request of a regular client, which may disconnect early or write slowly."""
         generator = self.generator
         tenant = int(TENANTS * generator.random() ** 1.5)
-        service = generator.choices(SERVICE_CLASSES, [each.traffic_share for each in SERVICE_CLASSES])[0]
+        service_class = generator.choices(SERVICE_CLASSES, [each.traffic_share for each in SERVICE_CLASSES])[
+            0
+        ]
         gateway = self.front_end.pick_gateway(tenant % len(self.front_end.ports), generator)
         if gateway is None or (connection := await self.acquire_connection(gateway)) is None:
             return
         draw = generator.random()
         if draw < self.leave_share:
-            request = await self.send_request(connection, service, tenant)
+            request = await self.send_request(connection, service_class, tenant)
             await asyncio.sleep(generator.random() * 0.2)
             if request.outcome is RequestOutcome.NO_RESPONSE and connection.is_usable:
                 connection.disconnect(generator.choice(("close", "reset", "half")))
             return
         slow = self.leave_share <= draw < self.leave_share + self.slow_share
-        request = await self.send_request(connection, service, tenant, slow)
+        request = await self.send_request(connection, service_class, tenant, slow)
         await self.wait_for_response(connection, request)
         if request.outcome is RequestOutcome.CONNECTION_CLOSED and self.crossed_close(request):
-            await self.resend(request, service, tenant)
+            await self.resend(request, service_class, tenant)
         elif connection.is_usable:
             self.idle_connections[gateway].append(connection)
 
     async def send_request(
         self,
         connection: ClientConnection,
-        service: ServiceClassConfig,
+        service_class: ServiceClassConfig,
         tenant: int,
         slow: bool = False,
         request_id: str = "",
     ) -> RequestRecord:
         """Sends a command, slowly in two parts if `slow`; its timeout starts with the last byte."""
         request_id = request_id or f"q{next(self.request_ids)}"
-        text = self.encode_command(request_id, service, tenant)
+        text = self.encode_command(request_id, service_class, tenant)
         if slow:
             half = self.generator.randrange(1, len(text))
             connection.writer.write(text[:half])
@@ -223,9 +225,9 @@
             connection.gateway,
             connection.run_number,
             connection.number,
-            service.effect,
+            service_class.effect,
             f"{tenant:016x}",
-            service.deadline,
+            service_class.deadline,
             time.monotonic(),
         )
         self.record.requests.append(request)
@@ -248,12 +250,12 @@
         """Returns whether the gateway closed the connection at the same time and did not read the request."""
         return request.ended_at - request.sent_at < 0.05
 
-    async def resend(self, request: RequestRecord, service: ServiceClassConfig, tenant: int) -> None:
+    async def resend(self, request: RequestRecord, service_class: ServiceClassConfig, tenant: int) -> None:
         """Sends a request again on a new connection, after a simultaneous close of the first one."""
         gateway = self.front_end.pick_gateway(tenant % len(self.front_end.ports), self.generator)
         if gateway is None or (connection := await self.open_connection(gateway)) is None:
             return
-        resent = await self.send_request(connection, service, tenant, request_id=request.id)
+        resent = await self.send_request(connection, service_class, tenant, request_id=request.id)
         await self.wait_for_response(connection, resent)
         if connection.is_usable:
             connection.writer.close()
@@ -285,13 +287,13 @@
         connection = await self.open_connection(gateway)
         sent: list[tuple[RequestRecord, ServiceClassConfig, int]] = []
         while connection is not None and connection.is_usable and len(sent) < MAX_PIPELINED_COMMANDS:
-            service, tenant = self.generator.choice(SERVICE_CLASSES), self.generator.randrange(TENANTS)
-            sent.append((await self.send_request(connection, service, tenant), service, tenant))
+            service_class, tenant = self.generator.choice(SERVICE_CLASSES), self.generator.randrange(TENANTS)
+            sent.append((await self.send_request(connection, service_class, tenant), service_class, tenant))
             await asyncio.sleep(interval)
-        for request, service, tenant in sent:
+        for request, service_class, tenant in sent:
             await self.wait_for_response(connection, request)
             if request.outcome is RequestOutcome.CONNECTION_CLOSED and self.crossed_close(request):
-                await self.resend(request, service, tenant)
+                await self.resend(request, service_class, tenant)
 
     async def send_at_idle_timeout(self) -> None:
         """Keeps a connection idle until the gateway is about to close it, and sends a request then."""
@@ -300,14 +302,14 @@
         )
         if gateway is None or (connection := await self.acquire_connection(gateway)) is None:
             return
-        service, tenant = SERVICE_CLASSES[0], self.generator.randrange(TENANTS)
+        service_class, tenant = SERVICE_CLASSES[0], self.generator.randrange(TENANTS)
         await asyncio.sleep(2.1 + 0.5 * self.generator.random())
         if not connection.is_usable:
             return
-        request = await self.send_request(connection, service, tenant)
+        request = await self.send_request(connection, service_class, tenant)
         await self.wait_for_response(connection, request)
         if request.outcome is RequestOutcome.CONNECTION_CLOSED and self.crossed_close(request):
-            await self.resend(request, service, tenant)
+            await self.resend(request, service_class, tenant)
 
     async def run_bad_client(self) -> None:
         """Runs one client that violates the protocol and records when it gets an error or a close.
--- a/emulator/soak/configuration.py
+++ b/emulator/soak/configuration.py
@@ -45,7 +45,7 @@
     ServiceClassConfig("report", Effect.KEYED, 0.6, 2.5, 0.25),
     ServiceClassConfig("order", Effect.UNSAFE, 0.6, 2.0, 0.15),
 )
-MAX_DEADLINE = max(service.deadline for service in SERVICE_CLASSES)
+MAX_DEADLINE = max(service_class.deadline for service_class in SERVICE_CLASSES)
 EFFECT_SETTINGS = {Effect.SAFE: "pure", Effect.KEYED: "token", Effect.UNSAFE: "side_effect"}
 
 
@@ -65,14 +65,14 @@
     tree["specifics"]["counter_timeout"] = 80 * MILLISECOND_NS
     tree["services"] = [
         {
-            "name": service.name,
-            "slo": int(service.latency_target * SECOND_NS),
-            "deadline": int(service.deadline * SECOND_NS),
-            "effect": EFFECT_SETTINGS[service.effect],
+            "name": service_class.name,
+            "slo": int(service_class.latency_target * SECOND_NS),
+            "deadline": int(service_class.deadline * SECOND_NS),
+            "effect": EFFECT_SETTINGS[service_class.effect],
             "dedup_scope": "all",
             "memory_span": int(DEDUP_WINDOW * SECOND_NS),
             "gain": 1.0,
         }
-        for service in SERVICE_CLASSES
+        for service_class in SERVICE_CLASSES
     ]
     return tree
--- a/emulator/soak/environment.py
+++ b/emulator/soak/environment.py
@@ -93,8 +93,8 @@
     async def add_server(self, slow_start: bool) -> SoakServer:
         """Starts a server and adds it to discovery, with or without slow start."""
         name = f"s-{len(self.servers) + len(self.removed_servers):04d}"
-        started = record_server_start(self.record, name) if slow_start else 0
-        server = SoakServer(name, self.record, random.Random(self.generator.random()), started)
+        started_ms = record_server_start(self.record, name) if slow_start else 0
+        server = SoakServer(name, self.record, random.Random(self.generator.random()), started_ms)
         await server.start()
         self.servers.append(server)
         self.server_list.apply_change(server.entry())
--- a/emulator/soak/gateways.py
+++ b/emulator/soak/gateways.py
@@ -23,7 +23,7 @@
 
 READY_POLL_INTERVAL = 0.02  # seconds between checks whether a gateway is ready
 PING_TIMEOUT = 1.0  # seconds
-FAILURE_DETECTION_DELAY = 0.5  # seconds until the front end detects that a gateway has died
+FAILURE_DETECTION_DELAY = 0.5  # seconds until the front end detects that a killed gateway has ended
 KILL_AFTER = min(MAX_DEADLINE, 3.0) + 0.7  # earliest SIGKILL, in seconds after SIGTERM
 LOG_TAIL_BYTES = 20_000
 # Ports below the ephemeral range; the process id separates soaks that run at the same time.
@@ -101,7 +101,7 @@
         (self.directory / "next.json").rename(self.directory / "config.json")
 
     async def start(self, counter: SoakCounter, server_list: SoakServerList) -> None:
-        """Starts a process and waits until it is ready or has ended, at most READY_WITHIN seconds.
+        """Starts a process and waits until it is ready or has ended, at most READY_TIMEOUT seconds.
 
         A process that did not become ready keeps `ready_at` None in its record.
         """
--- a/emulator/soak/standins.py
+++ b/emulator/soak/standins.py
@@ -180,7 +180,7 @@
     def __init__(self) -> None:
         self.version, self.changes = 1, list[dict[str, Any]]()
         self.entries: dict[str, dict[str, Any]] = {}
-        self.change_event = asyncio.Event()
+        self.version_changed = asyncio.Event()
 
     def apply_change(self, entry: dict[str, Any]) -> None:
         """Applies a changed or new entry, which creates a version, and wakes waiting calls."""
@@ -190,20 +190,20 @@
             self.entries.pop(entry["id"], None)
         else:
             self.entries[entry["id"]] = entry
-        change_event, self.change_event = self.change_event, asyncio.Event()
-        change_event.set()
+        version_changed, self.version_changed = self.version_changed, asyncio.Event()
+        version_changed.set()
 
     async def respond(self, query: dict[str, str]) -> tuple[bytes, list[dict[str, Any]]]:
         """Returns the response body for a call and the entries in it, after the requested wait."""
-        known_version = int(query.get("index", 0))
-        if known_version == self.version:
+        client_version = int(query.get("index", 0))
+        if client_version == self.version:
             try:
                 async with asyncio.timeout(int(query.get("wait", 0)) / 1000):
-                    await self.change_event.wait()
+                    await self.version_changed.wait()
             except TimeoutError:
                 pass
-        full = not 0 < known_version <= self.version
-        servers = list(self.entries.values()) if full else self.changes[known_version - 1 :]
+        full = not 0 < client_version <= self.version
+        servers = list(self.entries.values()) if full else self.changes[client_version - 1 :]
         return self.encode_list(full, servers), servers
 
     def encode_list(self, full: bool, servers: list[dict[str, Any]]) -> bytes:
@@ -255,7 +255,7 @@
         super().__init__(agent.service)
         self.agent = agent
 
-    async def reply(self, target: str) -> None:
+    async def send_response(self, target: str) -> None:
         """Responds to one call and records the delivery."""
         assert self.transport is not None
         body, servers = await self.agent.service.respond(dict(parse_qsl(urlsplit(target).query)))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -81,7 +81,7 @@
         now: the clock, in seconds.
         action_log: time and action, for all actions so far.
         counter_totals: totals of the counter, by counter key.
-        counter_mode: "answer", "silent" (each call times out), "refuse" (each is turned away) or "hold" (the
+        counter_mode: "answer", "silent" (each call times out), "refuse" (each is rejected) or "hold" (the
             test answers).
     """
 
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -317,7 +317,7 @@
 
 
 def gateway_config(servers, discovery_port, counter_port, settings=None):
-    """Returns the content of a configuration file of a gateway that knows these servers."""
+    """Returns the content of a configuration file of a gateway whose list already holds these servers."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -30,41 +30,41 @@
 )
 @pytest.mark.parametrize("gateways", [3, 20, 30, 230])
 def test_all_gateways_together_do_not_overload_a_server_in_slow_start(gateways, load):
-    world = SlowStartExperiment(gateways, seed=gateways, load=load)
-    world.run(no_failure)
-    assert world.excess() <= 0
-    assert world.slow_start_attempts()  # the server gets requests at all
+    experiment = SlowStartExperiment(gateways, seed=gateways, load=load)
+    experiment.run(no_failure)
+    assert experiment.excess() <= 0
+    assert experiment.slow_start_attempts()  # the server gets requests at all
 
 
 def test_losing_the_other_servers_does_not_overload_a_server_in_slow_start():
     excess = {}
     for gateways in (20, 30, 230):
         for failure in (all_others_removed, most_others_removed):
-            world = SlowStartExperiment(gateways, seed=gateways)
-            world.run(failure)
-            excess[gateways, failure.__name__] = round(world.excess(), 1)
+            experiment = SlowStartExperiment(gateways, seed=gateways)
+            experiment.run(failure)
+            excess[gateways, failure.__name__] = round(experiment.excess(), 1)
     assert max(excess.values()) <= 0, excess
 
 
 def test_restarted_gateways_do_not_overload_a_server_in_slow_start():
     excess = {}
     for gateways in (20, 30, 230):
-        world = SlowStartExperiment(gateways, seed=gateways)
-        world.run(gateways_restarted)
-        excess[gateways] = round(world.excess(), 1)
+        experiment = SlowStartExperiment(gateways, seed=gateways)
+        experiment.run(gateways_restarted)
+        excess[gateways] = round(experiment.excess(), 1)
     assert max(excess.values()) <= 0, excess
 
 
 def test_slow_start_limit_is_measured_in_work():
     excess = {}
     for gateways in (20, 230):
-        world = SlowStartExperiment(
+        experiment = SlowStartExperiment(
             gateways,
             seed=1,
             plan=make_plan(rate=1e6, burst=4e6),
             max_request_units=8.0,
             draw_units=lambda generator: 8.0 if generator.random() < 0.1 else 0.5,
         )
-        world.run(all_others_removed)
-        excess[gateways] = round(world.excess(), 1)
+        experiment.run(all_others_removed)
+        excess[gateways] = round(experiment.excess(), 1)
     assert max(excess.values()) <= 0, excess
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -87,7 +87,7 @@
             [Deployment(1, 5).discovery_entry(number) for number in range(5)], 1e6, max_history=3
         )
         for number in range(changes):
-            model.change(Deployment(1, 5).discovery_entry(number, state="draining"))
+            model.apply_change(Deployment(1, 5).discovery_entry(number, state="draining"))
         return json.loads(await model.get(f"/v1/endpoints?index={client_version}&wait=1"))
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -232,7 +232,7 @@
     async with StubServer(answer=None) as healthy, StubServer(answer=b"-BUSY\r\n") as failing:
         async with GatewayHarness(healthy, failing, path=tmp_path) as harness:
             if not refuses_requests:
-                failing.server.close()  # its process died, which the server list does not show yet
+                failing.server.close()  # its process has ended, which the server list does not show yet
             handle_event, failing_sends, requests = harness.service.policy.handle, [], []
 
             def handle(now, event):
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -103,7 +103,7 @@
                 live.append((answered, retry))
     fair = total / 8 / 10  # attempts per second at one of the other servers
     assert sent_in_slow_start, "the server in slow start gets some attempts"
-    for since in sent_in_slow_start:  # by the rules, it bears at least twice its share for 2 s
+    for since in sent_in_slow_start:  # the rules allow it at least twice its share for 2 s
         capacity = 0.2 + 0.8 * (since - 1002.0) / 10
         assert (
             sum(since <= at < since + 2.0 for at in sent_in_slow_start)
