--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -122,7 +122,7 @@
     ],
     plots: Annotated[
         Path | None,
-        typer.Option(file_okay=False, help="Folder into which the fitted lines are drawn as PNG files."),
+        typer.Option(file_okay=False, help="Directory into which the fitted lines are drawn as PNG files."),
     ] = None,
 ) -> None:
     """Prints saved results and, with --plots, draws their fitted lines."""
--- a/emulator/measure.py
+++ b/emulator/measure.py
@@ -12,7 +12,7 @@
 
 T = TypeVar("T")
 
-MEGABYTE = 1024 * 1024
+MEGABYTE = 1024 * 1024  # bytes
 
 
 def executed_lines(function: Callable[[], object]) -> int:
--- a/emulator/real/processes.py
+++ b/emulator/real/processes.py
@@ -212,11 +212,11 @@
 
     Raises ProcessError if it does not become ready.
     """
-    with tempfile.TemporaryDirectory(prefix="emulator-") as folder:
-        config, port = Path(folder) / "config.json", free_port()
+    with tempfile.TemporaryDirectory(prefix="emulator-") as directory:
+        config, port = Path(directory) / "config.json", free_port()
         config.write_text(json.dumps(configuration(deployment, port, ports, known_servers)))
         environment = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
-        log = (Path(folder) / "log").open("wb")
+        log = (Path(directory) / "log").open("wb")
         started_at = time.monotonic()
         process = await asyncio.create_subprocess_exec(
             *gateway_command(),
--- a/emulator/report.py
+++ b/emulator/report.py
@@ -69,8 +69,8 @@
     )
 
 
-def plot_fit(result: Result, fit: Fit, folder: Path) -> Path:
-    """Draws the measured points and the fitted line as a PNG file in `folder`; returns its path."""
+def plot_fit(result: Result, fit: Fit, directory: Path) -> Path:
+    """Draws the measured points and the fitted line as a PNG file in `directory`; returns its path."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -95,8 +95,8 @@
     axes.legend()
     axes.grid(alpha=0.3)
     figure.tight_layout()
-    folder.mkdir(parents=True, exist_ok=True)
-    path = folder / f"{result.scenario}-{fit.figure}.png"
+    directory.mkdir(parents=True, exist_ok=True)
+    path = directory / f"{result.scenario}-{fit.figure}.png"
     figure.savefig(path)
     pyplot.close(figure)
     return path
--- a/emulator/scenarios/quota.py
+++ b/emulator/scenarios/quota.py
@@ -59,7 +59,7 @@
     cases = [(rate, spread) for rate in RATES for spread in SPREADS if spread <= gateways]
     rows = []
     for step, (rate, spread) in enumerate(cases):
-        options.progress(f"{rate:g} units a second through {spread} gateways", step / len(cases))
+        options.progress(f"{rate:g} units per second through {spread} gateways", step / len(cases))
         rows.append(measure(rate, spread, gateways, options.seed))
     return rows
 
--- a/emulator/soak/command.py
+++ b/emulator/soak/command.py
@@ -16,7 +16,7 @@
 MAX_GATEWAYS = 60
 MAX_MINUTES = 120.0
 MAX_RATE = 500.0  # requests per second for each gateway
-EXIT_VIOLATIONS = 1  # exit code if an invariant was violated
+EXIT_VIOLATIONS = 1  # exit status if an invariant was violated
 
 
 def soak(
@@ -42,7 +42,7 @@
     errors = Console(stderr=True)
     try:
         result = run_soak(
-            options, lambda text, share: errors.print(f"{100 * share:3.0f}%  {text}", highlight=False)
+            options, lambda text, fraction: errors.print(f"{100 * fraction:3.0f}%  {text}", highlight=False)
         )
     except (SoakError, ShimError) as err:
         raise typer.BadParameter(str(err)) from err
--- a/emulator/soak/faults.py
+++ b/emulator/soak/faults.py
@@ -24,7 +24,7 @@
 MAX_SYSTEM_CALL_FAULT_DURATION = 0.5  # seconds
 
 # Injects a fault for some seconds and returns which servers or gateways it affected.
-FaultScenario = Callable[[SoakEnvironment, random.Random, float], Awaitable[str]]
+FaultFunction = Callable[[SoakEnvironment, random.Random, float], Awaitable[str]]
 
 
 def sample_servers(environment: SoakEnvironment, generator: random.Random) -> list[SoakServer]:
@@ -54,7 +54,7 @@
             gateway.restarting = False
 
 
-def server_behavior_fault(behavior: ServerBehavior) -> FaultScenario:
+def server_behavior_fault(behavior: ServerBehavior) -> FaultFunction:
     """Returns a fault that changes the behavior of some servers."""
 
     async def inject(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
@@ -70,7 +70,7 @@
     return inject
 
 
-def server_proxy_fault(fault: ProxyFault) -> FaultScenario:
+def server_proxy_fault(fault: ProxyFault) -> FaultFunction:
     """Returns a fault that affects the network connection to some servers."""
 
     async def inject(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
@@ -115,7 +115,7 @@
     return ",".join(server.name for server in servers)
 
 
-def discovery_proxy_fault(fault: ProxyFault) -> FaultScenario:
+def discovery_proxy_fault(fault: ProxyFault) -> FaultFunction:
     """Returns a fault that affects the network connection between some gateways and discovery."""
 
     async def inject(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
@@ -131,7 +131,7 @@
     return inject
 
 
-def counter_proxy_fault(fault: ProxyFault) -> FaultScenario:
+def counter_proxy_fault(fault: ProxyFault) -> FaultFunction:
     """Returns a fault that affects the network connection to the counter."""
 
     async def inject(environment: SoakEnvironment, generator: random.Random, seconds: float) -> str:
@@ -292,7 +292,7 @@
     return ""
 
 
-FAULTS: dict[str, FaultScenario] = {
+FAULTS: dict[str, FaultFunction] = {
     "server-hangs": server_behavior_fault(ServerBehavior.HANG),
     "server-errs": server_behavior_fault(ServerBehavior.ERROR),
     "server-busy": server_behavior_fault(ServerBehavior.BUSY),
--- a/emulator/soak/report.py
+++ b/emulator/soak/report.py
@@ -22,13 +22,13 @@
 
 def replay_command(options: SoakOptions) -> str:
     """Returns the command that injects the same faults again."""
-    words = ["python", "-m", "emulator", "soak", "--seed", str(options.seed)]
-    words += ["--gateways", str(options.gateways), "--minutes", f"{options.seconds / 60:g}"]
+    arguments = ["python", "-m", "emulator", "soak", "--seed", str(options.seed)]
+    arguments += ["--gateways", str(options.gateways), "--minutes", f"{options.seconds / 60:g}"]
     if options.rate != DEFAULT_RATE:
-        words += ["--rate", f"{options.rate:g}"]
+        arguments += ["--rate", f"{options.rate:g}"]
     if options.faults:
-        words += ["--troubles", ",".join(options.faults)]
-    return shlex.join(words)
+        arguments += ["--troubles", ",".join(options.faults)]
+    return shlex.join(arguments)
 
 
 def log_lines(record: SoakRecord, violation: Violation) -> list[str]:
--- a/emulator/soak/runner.py
+++ b/emulator/soak/runner.py
@@ -139,12 +139,12 @@
 
 
 def run_soak(
-    options: SoakOptions, progress: Callable[[str, float], None] = lambda text, share: None
+    options: SoakOptions, progress: Callable[[str, float], None] = lambda text, fraction: None
 ) -> SoakResult:
     """Runs a soak and checks its invariants.
 
     Raises SoakError for invalid options and ShimError if the fault shim cannot be built.
-    `progress` is called at each episode with the names of its faults and the share of time that has passed.
+    `progress` is called at each episode with the names of its faults and the completed fraction of the run.
     """
     resolve_fault_names(options.faults)
     with tempfile.TemporaryDirectory(prefix="soak-") as temporary:
