--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("everywhere", [True, False])
 @pytest.mark.parametrize("step", [0.0, 3600.0, -3600.0, 5.0, -5.0])
-def test_server_that_has_just_started_is_young_on_either_side_of_a_step(step, everywhere, fake_time):
+def test_age_of_a_recently_started_server_does_not_grow_by_a_step(step, everywhere, fake_time):
     """`everywhere`: the clock that the start time was read from was stepped too."""
     gateway_clock = Clock()
     fake_time.step = step
@@ -52,7 +52,7 @@
     assert 0.0 <= age <= AGE + 1e-6
 
 
-def test_start_long_ago_stays_long_ago(fake_time):
+def test_start_time_zero_is_not_converted(fake_time):
     assert Clock().local_start_time(0.0) == 0.0
 
 
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -160,7 +160,7 @@
 
 
 @on_loop
-async def test_busy_discovery_is_not_asked_for_the_whole_list(tmp_path, monkeypatch):
+async def test_no_whole_list_is_requested_after_busy_responses_of_discovery(tmp_path, monkeypatch):
     monkeypatch.setattr(discovery, "MAX_BACKOFF", 0.1)
     async with StubServer() as server, GatewayHarness(server, path=tmp_path) as harness:
         harness.discovery.busy_responses = 4
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -167,7 +167,7 @@
     assert count_served(harness, 40) < 11
 
 
-def test_idle_tenant_saves_up_at_most_one_burst():
+def test_idle_tenant_accumulates_at_most_one_burst():
     harness = PolicyHarness()
     window_length = 4.0
     harness.send_request()
@@ -209,7 +209,7 @@
     assert count_served(harness, 30, tenant="c0", spread=8) <= 6
 
 
-def test_end_of_a_quota_is_reserved_for_the_most_valuable_class():
+def test_remainder_of_a_quota_is_reserved_for_the_most_valuable_class():
     harness = PolicyHarness(make_settings(plans=[make_plan(rate=0.5, burst=40.0)]))
     low = count_served(harness, 100, service_class="read")
     high = count_served(harness, 100, service_class="write")
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -83,7 +83,7 @@
         PolicyHarness(make_settings(plans=[UNLIMITED], gateways=gateways, index=index), servers, seed=index)
         for index in range(gateways)
     ]
-    sent_in_slow_start, total, now, live = [], 0, 1000.0, []
+    sent_in_slow_start, total, now, in_flight = [], 0, 1000.0, []
     for step in range(1600):  # 200 requests per second over all gateways; the tenth server restarts after 2 s
         harness, now = harnesses[step % gateways], 1000.0 + step * 0.005
         if step == 400:
@@ -94,20 +94,20 @@
         for send in actions_of(harness.send_request()[1], api.Send):
             sent_in_slow_start += [now] if send.server == "h9" and step >= 400 else []
             total += 1
-            live.append((harness, send))
-        if len(live) > 25:
-            answered, send = live.pop(0)
-            answered.now = now
-            for retry in actions_of(answered.finish_attempt(send), api.Send):
+            in_flight.append((harness, send))
+        if len(in_flight) > 25:
+            sender, send = in_flight.pop(0)
+            sender.now = now
+            for retry in actions_of(sender.finish_attempt(send), api.Send):
                 sent_in_slow_start += [now] if retry.server == "h9" and step >= 400 else []
-                live.append((answered, retry))
-    fair = total / 8 / 10  # attempts per second at one of the other servers
+                in_flight.append((sender, retry))
+    fair_rate = total / 8 / 10  # attempts per second at one of the other servers
     assert sent_in_slow_start, "the server in slow start gets some attempts"
-    for since in sent_in_slow_start:  # the rules allow it at least twice its share for 2 s
-        capacity = 0.2 + 0.8 * (since - 1002.0) / 10
+    for window_start in sent_in_slow_start:  # the rules allow it at least twice its share for 2 s
+        capacity = 0.2 + 0.8 * (window_start - 1002.0) / 10
         assert (
-            sum(since <= at < since + 2.0 for at in sent_in_slow_start)
-            <= 2 * 2.0 * max(capacity, 0.2) * fair * 2 + 3
+            sum(window_start <= at < window_start + 2.0 for at in sent_in_slow_start)
+            <= 2 * 2.0 * max(capacity, 0.2) * fair_rate * 2 + 3
         )
 
 
@@ -131,24 +131,24 @@
 
 def test_no_hedged_attempt_where_the_settings_forbid_it():
     harness = make_harness(limits=dict(hedging=False))
-    live, most = {}, 0  # attempts without an outcome, by request
+    in_flight, max_in_flight = {}, 0  # attempts without an outcome, by request
     for _ in range(40):
         actions = harness.send_request()[1] + harness.advance(0.05)
         remaining = list(actions)
         while remaining:
             action = remaining.pop(0)
             if isinstance(action, api.Send):
-                live[action.id] = live.get(action.id, 0) + 1
-                most = max(most, live[action.id])
+                in_flight[action.id] = in_flight.get(action.id, 0) + 1
+                max_in_flight = max(max_in_flight, in_flight[action.id])
                 if action.server == "h2":
-                    live[action.id] -= 1
+                    in_flight[action.id] -= 1
                     remaining += harness.finish_attempt(action)
-            elif isinstance(action, api.Cancel) and live.get(action.id):
-                live[action.id] -= 1
+            elif isinstance(action, api.Cancel) and in_flight.get(action.id):
+                in_flight[action.id] -= 1
                 remaining += harness.handle(
                     api.Outcome(action.id, action.attempt, "h1", "cancelled", 0.3, False)
                 )
-    assert most == 1
+    assert max_in_flight == 1
 
 
 def test_equal_seeds_give_equal_actions():
@@ -184,7 +184,7 @@
     assert api.WatchServerList(True) in harness.advance(1.2)
 
 
-def test_request_whose_response_is_streaming_is_left_alone():
+def test_request_whose_response_is_streaming_gets_no_action():
     harness = make_harness()
     send = actions_of(harness.send_request()[1], api.Send)[0]
     harness.handle(api.AttemptStarted(send.id, 0, send.server, 0.1))
@@ -314,7 +314,7 @@
 
 
 @pytest.mark.parametrize("result", api.NOT_STARTED_RESULTS)
-def test_attempt_that_never_began_is_not_counted_and_not_held_against_a_server(result):
+def test_attempt_that_never_began_counts_neither_as_attempt_nor_as_failure(result):
     harness = PolicyHarness(
         make_settings(gateways=1, limits={"max_attempts": 1}), [make_server("h1"), make_server("h2")]
     )
